--- a/packages/relay/include/ridgeferry/relay/Fleet.h
+++ b/packages/relay/include/ridgeferry/relay/Fleet.h
@@ -22,117 +22,189 @@
 
 namespace ridgeferry::relay {
 
-/** Between a send to an engine and its first byte. */
+/**
+ * A measurement of how fast an engine prefills, taken from sending a call to
+ * the engine until the first byte of its answer.
+ */
 struct PaceSample
 {
   std::string_view m_engine;
-  std::int64_t m_work = 0; ///< Read meanwhile, also what was ahead of the call.
+  /**
+   * Prefill work done in that time, including the work that was queued ahead of
+   * the call.
+   */
+  std::int64_t m_work = 0;
   Duration m_took{};
-  /** Nothing was ahead as far as known, and the work is sure. Others only tell
-   * what callers meet, not what the engine can do: under load it would look
-   * slow just when that does most harm. */
+  /**
+   * True if, as far as this instance knows, nothing was queued ahead of the
+   * call and `m_work` is exact. Samples that are not clean show what callers
+   * experience, not what the engine is capable of: under load they would make
+   * the engine look slow just when that does most harm.
+   */
   bool m_isClean = false;
 };
 
-/** What another instance has under way at a member. */
+/** The calls that another instance has in flight at one member. */
 struct OtherLoad
 {
-  std::uint32_t m_member = 0; ///< `Fleet::ShortHash` of its id.
+  std::uint32_t m_member = 0; ///< `Fleet::ShortHash` of the member's id.
   std::int64_t m_running = 0;
-  std::int64_t m_tokens = 0; ///< Still to be read.
+  std::int64_t m_tokens = 0; ///< Prompt tokens that are still to be prefilled.
   bool operator==(const OtherLoad&) const = default;
 };
 
-/** What another instance knows of an engine's part ahead of the list. */
+/**
+ * A change of an engine's role that another instance announced before the list
+ * of members shows it.
+ */
 struct PartNewsOf
 {
-  std::uint32_t m_member = 0; ///< `Fleet::ShortHash` of its id.
-  std::optional<Part> m_part; ///< Nothing: between two parts.
+  std::uint32_t m_member = 0; ///< `Fleet::ShortHash` of the engine's id.
+  /** The new role, or empty while the engine changes roles. */
+  std::optional<Part> m_part;
   bool operator==(const PartNewsOf&) const = default;
 };
 
 /**
- * The upstreams of all services and what this instance has under way at each.
+ * Chooses the upstream for each call, from the members of all services and the
+ * calls that are in flight at each.
  *
- * Engines are chosen by the estimated tokens to read before the first token:
- * what is under way there, plus what of this prompt has to be read anew. Each
- * chain of shared parts has home engines, by rendezvous, where it is taken to
- * be kept: instances agree on them without talking. Plain upstreams are chosen
- * by least expected time. Decisions only; not thread-safe.
+ * Fleet places a prompt on the engine with the least estimated prefill work
+ * before the first token: the work that is queued there plus the part of this
+ * prompt that the engine does not have cached. For each chain of prefix
+ * segments, rendezvous hashing selects the engine that is assumed to cache the
+ * chain (its affinity target), so all instances agree on it without
+ * communication. Calls to plain services go to the upstream with the least
+ * expected response time. This class only makes decisions and does no I/O. It
+ * is not thread-safe.
  */
 class Fleet
 {
 public:
-  /** Failures in a row after which a member rests: one is chance, three are
-   * not at the error rates of sound upstreams. */
+  /**
+   * Number of consecutive failures after which a member is ejected. One failure
+   * can be chance; three in a row are not, at the error rates of sound
+   * upstreams.
+   */
   static constexpr int kFailuresToRest = 3;
   static constexpr Duration kRest{ 1000 };
-  /** Rest of a member at whose address another one answers: the list should
-   * say so within two seconds, unless the store is away. */
+  /**
+   * Ejection time of a member at whose address another upstream answers. The
+   * list of members should show the new address within two seconds, unless the
+   * store is unavailable.
+   */
   static constexpr Duration kDisplacedRest{ 3000 };
   /**
-   * A member that was sent something and has not said a word for so long gets
-   * nothing more while others are sound: far above what a step or a plain call
-   * takes. An engine has besides what the prompts that wait there should take,
-   * half as long again: one that only reads says nothing before it has read.
+   * How long a member may leave a call unanswered before it counts as
+   * unresponsive and gets no further calls while other members are sound. 300
+   * ms is far more than a decode step or a plain call takes. An engine gets
+   * additional time: the expected prefill time of the prompts queued there,
+   * times `kSilenceOfWork`, because an engine in the prefill role sends nothing
+   * before it has processed the prompt.
    */
   static constexpr Duration kSilence{ 300 };
   static constexpr double kSilenceOfWork = 1.5;
-  /** Bound of that: callers give up after two seconds. */
+  /**
+   * Upper bound of an engine's response time-out. Callers give up after two
+   * seconds.
+   */
   static constexpr Duration kMostSilence{ 1500 };
-  /** Ids of gone members whose birth is remembered, so that a late row of an
-   * earlier life brings none back: some days of replacements, 100 KB. */
+  /**
+   * Number of removed members whose start time is remembered, so that a late
+   * row of an earlier incarnation does not bring one back. The limit covers
+   * some days of replacements and takes about 100 KB.
+   */
   static constexpr std::size_t kMostPastLives = 1000;
-  /** Longest rest: it doubles each time that a member is asked again in vain,
-   * so that those behind a cut do not cost each caller of this side a try. */
+  /**
+   * Upper bound of the ejection time, which doubles each time that a probe of
+   * the member fails. The doubling keeps members behind a network partition
+   * from costing every caller on this side a failed attempt.
+   */
   static constexpr Duration kLongestRest{ 4000 };
-  /** Refusals in a row after which a member rests, and for how long: one that
-   * is between two parts refuses all, looks idle and would get everything. */
+  /**
+   * Number of consecutive refusals after which a member is ejected, and for how
+   * long. An engine that is changing roles refuses every call; it therefore
+   * looks idle and would otherwise attract all calls.
+   */
   static constexpr int kDeclinesToRest = 2;
   static constexpr Duration kDeclinedRest{ 300 };
 
   /**
-   * Takes a member as the list has it. In one life a member that leaves stays
-   * leaving. With a later life all that was found of the earlier one ends: what
-   * it keeps, loads, paces, rests, its part and its leaving. A row of an
-   * earlier life is not taken, also after the member has gone.
+   * Adds or updates a member from a row of the list. Within one incarnation, a
+   * member that is leaving stays leaving. A row of a later incarnation discards
+   * everything known of the earlier one: cached prefixes, loads, throughput,
+   * ejection, role and leaving state. A row of an earlier incarnation is
+   * ignored, even after the member was removed. Returns how the row's
+   * incarnation relates to the known one.
    */
   LifeOrder Put(const Member& aMember);
-  /** `aLapsesUntil`: the list was out of reach not long ago, and a member that
-   * has vanished may only have lapsed there; it stays until then. */
+  /**
+   * Removes a member that is no longer listed. If `aLapsesUntil` is set, the
+   * list was unreachable recently and the member's row may only have expired;
+   * the member is then kept until that time, unless it is leaving.
+   */
   void Drop(std::string_view aId, std::optional<Instant> aLapsesUntil);
-  /** The grace of members of a hall that have vanished ends no later. */
+  /**
+   * Ends the grace periods of all vanished members of data centre `aHall` at
+   * `aUntil` at the latest.
+   */
   void BoundGraces(std::string_view aHall, Instant aUntil);
-  /** Another instance says that it leaves: it gets no new work. */
+  /**
+   * Marks a member as leaving, as another instance announced, so that it gets
+   * no new calls. Has no effect on another incarnation of the member.
+   */
   void MarkLeaving(const UpstreamLife& aUpstream);
-  /** Ends the graces that have passed; tells whose. */
+  /** Removes the members whose grace period has ended and returns their ids. */
   std::vector<std::string> Tick(Instant aNow);
 
   PlaceResult FindPlace(const PlaceRequest& aRequest, Instant aNow) const;
 
-  /** A prompt was asked for; `aPause` as in `PlaceRequest`. */
+  /**
+   * Records that a caller sent `aPrompt`. `aPause` is the longest pause between
+   * two events of the answer that the caller accepts, as in
+   * `PlaceRequest::m_pause`.
+   */
   void NotePrompt(std::string_view aService,
                   const Prompt& aPrompt,
                   Duration aPause);
-  /** See `ReadingBeside::NoteStream`. */
+  /**
+   * Records the end of a stream, or a pause in it; see
+   * `ColocatedPrefill::NoteStream`.
+   */
   void NoteStream(std::string_view aService, bool aPaused);
-  /** `aTokens` to read before the first byte of its answer. */
+  /**
+   * Records that a call was sent to a member, which has `aTokens` to prefill
+   * before the first byte of its answer.
+   */
   void NoteSent(std::string_view aId, std::int64_t aTokens, Instant aNow);
-  /** Some bytes came from it, of whatever call. True: it had to prove itself,
-   * and has. */
+  /**
+   * Records that bytes arrived from the member, for any call. Returns true if
+   * the member was on probation, which these bytes end.
+   */
   bool NoteHeard(std::string_view aId);
-  /** No connection to it came about in time, or none of what was sent on one
-   * was acknowledged: it rests, and then is asked again by one call. */
+  /**
+   * Records that no connection to the member could be opened in time, or that
+   * the member acknowledged none of the data sent on a connection. The member
+   * is ejected; afterwards one call at a time probes it.
+   */
   void NoteOutOfReach(std::string_view aId, Instant aNow);
-  /** Whether it has been sent something and been silent since for too long, or
-   * has failed so and a call is out to see whether it is back. */
+  /**
+   * Returns whether the member is unresponsive: it has left a call unanswered
+   * for longer than its response time-out, or it is on probation and a probing
+   * call is unanswered.
+   */
   bool IsSilent(std::string_view aId, Instant aNow) const;
-  /** Whether what is sent to it should go on a connection of its own: kept ones
-   * may be what has fallen silent. */
+  /**
+   * Returns whether a call to the member should open a new connection, because
+   * the pooled connections may be the ones that no longer respond.
+   */
   bool NeedsOwnConnection(std::string_view aId, Instant aNow) const;
   void NoteFirstByte(std::string_view aId, std::int64_t aTokens);
-  /** `aTokens` still unread; `aTook` counts for served attempts. True: the
-   * member rests from now on. */
+  /**
+   * Records the end of an attempt at a member. `aTokens` is the prefill work
+   * that was still outstanding. `aTook` is used only for attempts that were
+   * served. Returns true if the member is ejected as a result.
+   */
   bool NoteEnded(std::string_view aId,
                  std::int64_t aTokens,
                  AttemptEnd aEnd,
@@ -140,120 +212,199 @@
                  Instant aNow);
   void NotePace(const PaceSample& aSample);
   /**
-   * A prompt's first token came after `aTook`; `aExpectedMs` as its place said.
-   * Loads of other instances are known late, and later in larger deployments:
-   * this tells soon by how much all estimates of a service are off, those of
-   * long prompts and of short ones apart: they go to different engines.
+   * Records that the first token of a prompt arrived after `aTook`, where the
+   * placement had estimated `aExpectedMs`.
+   *
+   * Loads of other instances become known late, and later in larger
+   * deployments. The ratio of measured to expected time shows sooner by which
+   * factor all estimates of a service are wrong. Long and short prompts have
+   * separate factors because they go to different engines.
    */
   void NoteFirstToken(std::string_view aService,
                       const Prompt& aPrompt,
                       double aExpectedMs,
                       Duration aTook,
                       Instant aNow);
-  /** Tokens under way at a member, of all instances. */
+  /**
+   * Returns the prompt tokens that all instances together have waiting for
+   * prefill at a member.
+   */
   std::int64_t TokensAt(std::string_view aId) const;
 
-  /** Replaces what an instance knows of engines' parts ahead of the list;
-   * empty: nothing, or it has ended. */
+  /**
+   * Replaces the role updates that instance `aInstance` announced before the
+   * list shows them. An empty vector means that the instance has none or has
+   * ended.
+   */
   void SetNews(const std::string& aInstance, std::vector<PartNewsOf> aNews);
-  /** The engines of a service that are listed, for a plan of their parts. */
+  /**
+   * Returns the listed engines of a service, as input for planning their roles.
+   */
   std::vector<PlannedEngine> EnginesOf(std::string_view aService) const;
-  /** Whether some member may only have lapsed from the list. */
+  /**
+   * Returns whether some member is in its grace period, that is, its row may
+   * only have expired.
+   */
   bool HasLapsed() const;
-  /** Whether generating engines may read prompts beside the output: as this
-   * instance has found, or as enough others have. */
+  /**
+   * Returns whether prompts may be prefilled on engines that decode (colocated
+   * prefill). False if this instance has found that the engines cannot sustain
+   * it, if enough other instances have, or if that was restored from the store.
+   */
   bool ReadsBeside(std::string_view aService) const;
-  /** `ShortHash` of the services that this instance has itself found unable to.
+  /**
+   * Returns the `ShortHash` of each service whose engines this instance itself
+   * has found unable to sustain colocated prefill.
    */
   std::vector<std::uint32_t> OwnApart() const;
-  /** The same with what was recalled, for the others: most of them do not read
-   * it themselves. */
+  /**
+   * Returns `OwnApart()` together with the restored findings, for other
+   * instances: most of them do not read the restored findings themselves.
+   */
   std::vector<std::uint32_t> ToldApart() const;
-  /** Replaces what another instance has found; empty: nothing, or it has ended.
+  /**
+   * Replaces the services whose engines instance `aInstance` has found unable
+   * to sustain colocated prefill. An empty vector means that the instance has
+   * found none or has ended.
    */
   void SetApart(const std::string& aInstance,
                 std::vector<std::uint32_t> aServices);
-  /** What was found before this process began. */
+  /** Sets the findings that were made before this process started. */
   void RecallApart(std::vector<std::uint32_t> aServices);
-  /** Generating engines that the output keeps busy. */
+  /**
+   * Returns the number of decode engines that the running output of a service
+   * keeps busy.
+   */
   double GeneratorsNeeded(std::string_view aService,
                           const EngineTraits& aTraits) const;
 
-  /** Replaces what an instance has under way; empty: it has ended. */
+  /**
+   * Replaces the calls that instance `aInstance` has in flight. An empty vector
+   * means that the instance has ended.
+   */
   void SetOther(const std::string& aInstance, std::vector<OtherLoad> aLoads);
-  /** A prompt is sent to be read there, or was by another instance: its shared
-   * parts are kept there from now on. */
+  /**
+   * Records that this or another instance sent a prompt to engine `aId` for
+   * prefill; its prefix segments count as cached there from now on.
+   */
   void NoteRead(const Prompt& aPrompt, std::string_view aId, Instant aNow);
   void NoteKept(const KeptPart& aPart, Instant aNow);
-  /** What own calls have had read not long ago, for the others. */
+  /**
+   * Returns the segments that this instance's own calls had prefilled less than
+   * `aSince` ago, for announcement to other instances.
+   */
   std::vector<KeptPart> OwnReads(Instant aNow, Duration aSince) const;
-  /** What this instance has under way, for the others. */
+  /**
+   * Returns the calls that this instance has in flight, for announcement to
+   * other instances.
+   */
   std::vector<OtherLoad> OwnLoads() const;
   static std::uint32_t ShortHash(std::string_view aId);
 
-  /** Null if it is not known. */
+  /** Returns null if no such member is known. */
   const Member* Find(std::string_view aId) const;
   std::size_t Size() const { return m_members.size(); }
-  /** Tokens that `aMember` has to read for the prompt, by what is known. */
+  /**
+   * Returns the tokens that an engine has to prefill for the prompt. `aKept`
+   * tells whether the engine is assumed to have the shared prefix cached.
+   */
   static std::int64_t TokensToRead(const Prompt& aPrompt, bool aKept);
   /**
-   * What the last `aTokens` of a prompt cost to read with attention: each token
-   * costs more the more stand before it. In tokens with none before them.
+   * Returns the cost of prefilling the last `aTokens` tokens of a prompt,
+   * including attention: a token costs more, the more tokens stand before it.
+   * The unit is the cost of a token without any before it.
    */
   static std::int64_t WorkOf(const Prompt& aPrompt, std::int64_t aTokens);
   static std::int64_t WorkToRead(const Prompt& aPrompt, bool aKept);
-  /** Work to read it at a member, by what is taken to be kept there. */
+  /**
+   * Returns the work to prefill the prompt at a member, given what is assumed
+   * to be cached there.
+   */
   std::int64_t WorkAt(const Prompt& aPrompt,
                       std::string_view aId,
                       Instant aNow) const;
-  /** Whether the prompt's shared parts are taken to be kept there. */
+  /**
+   * Returns whether the member is the affinity target of the prompt, so that
+   * the prompt's shared prefix is assumed to be cached there.
+   */
   bool IsHome(const Prompt& aPrompt, std::string_view aId) const;
 
 private:
   struct State
   {
-    Member m_member; ///< Its part: by the news, if there are any.
+    /**
+     * The member as listed, except that its role follows a role update if there
+     * is one.
+     */
+    Member m_member;
     Part m_listedPart = Part::Whole;
-    bool m_changing = false; ///< Between two parts: it takes nothing new.
+    /** Whether the engine is changing roles and accepts no new calls. */
+    bool m_changing = false;
     std::uint64_t m_hash = 0;
     std::int64_t m_inFlight = 0;
-    std::int64_t m_tokens = 0; ///< Under way here, not read yet.
+    /**
+     * Prompt tokens of this instance's calls that are still to be prefilled.
+     */
+    std::int64_t m_tokens = 0;
     std::int64_t m_othersInFlight = 0;
     std::int64_t m_othersTokens = 0;
-    double m_tookMs = 0; ///< Smoothed, of served plain calls.
-    /** As calls meet it, smoothed over all samples; 0: none. What waits there
-     * unknown to this instance, and the output beside, are in it. */
+    double m_tookMs = 0; ///< Smoothed duration of served plain calls, in ms.
+    /**
+     * Smoothed throughput that calls observe, over all samples; 0 if there is
+     * none. It includes the effect of queued work that this instance does not
+     * know of, and of concurrent decoding.
+     */
     double m_metPace = 0;
-    MedianPace m_pace;      ///< Of the engine alone.
-    double m_kindPace = 0;  ///< Of engines like it; 0: none has been seen.
-    double m_failShare = 0; ///< Smoothed.
+    /** Throughput of the engine itself, from clean samples. */
+    MedianPace m_pace;
+    /**
+     * Throughput of engines of the same service and role; 0 if none is known.
+     */
+    double m_kindPace = 0;
+    double m_failShare = 0; ///< Smoothed share of attempts that failed.
     int m_failuresInRow = 0;
     int m_declinesInRow = 0;
-    Duration m_rest = kRest; ///< The next one.
+    Duration m_rest = kRest; ///< Duration of the next ejection.
     std::optional<Instant> m_restsUntil;
-    /** When it was first sent something that it has not answered by any word.
+    /**
+     * When the member was sent the oldest call since it last sent any byte;
+     * empty if nothing is awaited from it.
      */
     std::optional<Instant> m_unheardSince;
-    /** It failed without a word: one call at a time until it says something. */
+    /**
+     * Whether the member is on probation: it failed without sending anything,
+     * and gets only one call at a time until it responds.
+     */
     bool m_mustProve = false;
-    std::optional<Instant> m_goneAt; ///< Dropped, within its grace.
+    /** When the grace period of a member that is no longer listed ends. */
+    std::optional<Instant> m_goneAt;
   };
 
-  /** An engine that could take a prompt, and when its first token would come.
+  /**
+   * An engine that could prefill a prompt, with the estimated time of the
+   * prompt's first token.
    */
   struct Candidate
   {
     const State* m_state = nullptr;
     double m_ms = 0;
     bool m_isHome = false;
-    double m_readMs = 0;            ///< Of it, for the prompt itself.
-    double m_typicalMs = 0;         ///< The same for a typical prompt.
-    std::int64_t m_work = 0;        ///< The same as work.
-    const State* m_donor = nullptr; ///< It fetches from there.
+    /** Time to prefill the prompt itself, including a KV transfer, in ms. */
+    double m_readMs = 0;
+    double m_typicalMs = 0;  ///< The same for a typical prompt, in ms.
+    std::int64_t m_work = 0; ///< Work to prefill the prompt itself.
+    /** Engine that this one fetches KV cache entries from, or null. */
+    const State* m_donor = nullptr;
     bool operator<(const Candidate& aOther) const { return m_ms < aOther.m_ms; }
-    /** Before its own reading. */
+    /**
+     * Returns the time that the prompt waits before its own prefill starts, in
+     * milliseconds.
+     */
     double WaitMs() const { return m_ms - m_readMs; }
-    /** When a typical prompt's first token would come. */
+    /**
+     * Returns when a typical prompt's first token would arrive, in
+     * milliseconds.
+     */
     double TypicalFirstMs() const { return WaitMs() + m_typicalMs; }
   };
 
@@ -269,89 +420,144 @@
   PlaceResult FindEngine(std::span<const State* const> aSound,
                          const PlaceRequest& aRequest,
                          Instant aNow) const;
-  /** The same where no prompt is read beside the output. Nothing: no engine
-   * only reads. */
+  /**
+   * Chooses the place of a prompt if the service does not allow colocated
+   * prefill. Returns std::nullopt if no engine can prefill the prompt or none
+   * can decode it.
+   */
   std::optional<PlaceResult> FindReader(std::span<const State* const> aSound,
                                         const PlaceRequest& aRequest,
                                         Instant aNow) const;
-  /** Who could read a prompt where none is read beside the output. */
+  /**
+   * Returns the engines that may prefill a prompt if the service does not allow
+   * colocated prefill: those in the prefill role, and decode engines for which
+   * the prompt is short enough.
+   */
   std::vector<Candidate> ReadersFor(std::span<const State* const> aSound,
                                     const PlaceRequest& aRequest,
                                     Instant aNow) const;
-  /** A typical prompt would miss its aim there. `aStretch`: see `StretchOf`. */
+  /**
+   * Returns whether a typical prompt would miss its first-token target at the
+   * engine. `aStretch` is the factor from `StretchOf`.
+   */
   static bool IsLate(const Candidate& aReader,
                      const PlaceRequest& aRequest,
                      double aStretch);
-  /** So little waits there that the prompt may be sent. */
+  /**
+   * Returns whether little enough work waits at the engine for the prompt to be
+   * sent there.
+   */
   static bool HasRoom(const Candidate& aReader,
                       const PlaceRequest& aRequest,
                       double aStretch);
-  /** What to do with a prompt for which there is no room anywhere. */
+  /**
+   * Returns the result for a prompt that no engine has room for: `PlaceLater`
+   * if the caller will still wait long enough, otherwise a fault.
+   */
   static PlaceResult NoRoomAt(const Candidate& aBest,
                               const PlaceRequest& aRequest,
                               double aStretch);
   static const Candidate& PickApart(std::span<const Candidate> aReaders,
                                     const PlaceRequest& aRequest);
-  /** Who gives the output of a prompt that was read elsewhere; null: nobody. */
+  /**
+   * Returns the engine that decodes a prompt which `aReader` prefills, or null
+   * if there is none.
+   */
   static const State* PickTaker(const State& aReader,
                                 std::span<const State* const> aSound);
-  /** Precondition: the request has a prompt. */
+  /**
+   * Returns the typical prompt of the request's kind of call, or the prompt
+   * itself if none is set. Precondition: the request has a prompt.
+   */
   static const Prompt& TypicalOf(const PlaceRequest& aRequest);
-  /** Why a typical prompt has no place at any of them; nothing: it has one.
-   * Precondition: there is a candidate. */
+  /**
+   * Returns why no candidate can serve a typical prompt within the admission
+   * bound, or std::nullopt if one can. Precondition: `aCandidates` is not
+   * empty.
+   */
   std::optional<PlaceFault> RefusalOf(std::span<const Candidate> aCandidates,
                                       const PlaceRequest& aRequest) const;
   bool PassesForItsSize(const Candidate& aBest,
                         const PlaceRequest& aRequest) const;
-  /** Nothing: one of them could read it in its caller's time, were it idle.
-   * Precondition: there is a candidate. */
+  /**
+   * Returns a fault if no candidate could prefill the prompt before its caller
+   * gives up, even when idle; std::nullopt otherwise. Precondition:
+   * `aCandidates` is not empty.
+   */
   static std::optional<PlaceFault> TooLarge(
     std::span<const Candidate> aCandidates,
     const PlaceRequest& aRequest);
-  /** Who reads a long prompt. Precondition: there is a candidate. */
+  /**
+   * Chooses the engine that prefills the prompt. Precondition: `aCandidates` is
+   * not empty.
+   */
   static const Candidate* PickReader(std::span<const Candidate> aCandidates,
                                      const Candidate& aBest,
                                      const PlaceRequest& aRequest);
-  /** Adds who gives the output. Precondition: some sound one generates. */
+  /**
+   * Returns a place that prefills at `aReader` and decodes at the best decode
+   * engine. Precondition: at least one engine in `aSound` decodes.
+   */
   static Place WithTaker(const State& aReader,
                          std::span<const State* const> aSound,
                          const PlaceRequest& aRequest);
   static double PaceOf(const State& aState);
-  /** `aPace`: `MetPaceOf` where engines read beside their output, else
-   * `PaceOf`. */
+  /**
+   * Returns the estimated time to the first token after `aWork` more prefill
+   * work at the engine, in milliseconds. `aPace` is the result of `MetPaceOf`
+   * if the service allows colocated prefill, otherwise that of `PaceOf`.
+   */
   static double FirstTokenMs(const State& aState,
                              std::int64_t aWork,
                              double aPace);
   static double MetPaceOf(const State& aState);
-  /** Tokens of the prompt's beginning that a member keeps. */
+  /**
+   * Returns how many tokens at the beginning of the prompt the member has
+   * cached.
+   */
   std::int64_t TokensKept(const Prompt& aPrompt,
                           const State& aState,
                           Instant aNow) const;
-  /** Work to read it where prompts are read apart, by what is known of kept
-   * parts. */
+  /**
+   * Returns the work to prefill the prompt at an engine if the service does not
+   * allow colocated prefill, from the prefix segments that are known to be
+   * cached there.
+   */
   std::int64_t WorkApart(const Prompt& aPrompt,
                          const State& aState,
                          Instant aNow) const;
-  /** An engine that others may fetch from, and how much it keeps. */
+  /**
+   * An engine from which others can fetch a cached prefix, and how many tokens
+   * of the prompt it has cached.
+   */
   struct Donor
   {
     const State* m_state = nullptr;
     std::int64_t m_tokens = 0;
   };
-  /** Who keeps most of a prompt, of all and in each hall. */
+  /**
+   * The engines with the most cached tokens of a prompt: overall and by data
+   * centre.
+   */
   struct Donors
   {
     Donor m_most;
     std::map<std::string_view, Donor> m_byHall;
   };
   Donors FindDonors(const PlaceRequest& aRequest, Instant aNow) const;
-  /** What may wait at a reader, in ms, before a prompt is sent there of whose
-   * kind a typical one takes so long to read. */
+  /**
+   * Returns how long the work queued at a prefill engine may take, in
+   * milliseconds, for a prompt to be sent there. `aTypicalMs` is the prefill
+   * time of a typical prompt of the same kind, and `aLate` tells whether that
+   * prompt would miss its target.
+   */
   static double MostAhead(const PlaceRequest& aRequest,
                           double aTypicalMs,
                           bool aLate);
-  /** Whether a prompt is so short that it may be read beside the output there,
-   * where longer ones may not. */
+  /**
+   * Returns whether the prompt is short enough to be prefilled on a decode
+   * engine of a service that does not allow colocated prefill in general.
+   */
   static bool FitsBeside(const PlaceRequest& aRequest, const State& aState);
   static Candidate BesideAt(const PlaceRequest& aRequest, const State& aState);
   Candidate ReaderFor(const PlaceRequest& aRequest,
@@ -359,27 +565,38 @@
                       const Donors& aDonors,
                       Instant aNow) const;
   static bool IsQuiet(const State& aState, std::uint64_t aQuietBelow);
-  /** Hashes of quiet engines are below this; `aMost`: of all that may be. */
+  /**
+   * Returns the hash below which decode engines are reserved for decoding and
+   * for short prompts. With `aMost`, returns the bound for the largest number
+   * of engines that may ever be reserved.
+   */
   std::uint64_t QuietBelow(std::string_view aService, bool aMost) const;
   static bool HasFreeSlots(const State& aState);
   std::uint64_t HomeOf(std::uint64_t aKey, std::string_view aService) const;
 
-  /** By how much first tokens come later than expected, smoothed. */
+  /** The smoothed ratio of measured to expected first-token time. */
   struct Stretch
   {
     double m_factor = 1;
     Instant m_at;
   };
-  /** What is believed of the calls of one service. */
+  /**
+   * What this instance has learned about the calls and engines of one service.
+   */
   struct ServiceBelief
   {
     ReadingBeside m_beside;
-    double m_heldTokens = 0; ///< Of a call's prompt and output, smoothed.
+    /** Smoothed KV cache size of a call, prompt and output, in tokens. */
+    double m_heldTokens = 0;
     MedianPace m_readers;
     MedianPace m_generators;
   };
   double StretchOf(std::string_view aService, const Prompt& aPrompt) const;
-  /** Whether it is worth a home, and is kept from quiet engines. */
+  /**
+   * Returns whether the prompt's shared prefix is long enough for prefix
+   * affinity. Long prompts are kept away from engines that are reserved for
+   * decoding.
+   */
   static bool IsLong(const Prompt& aPrompt);
 
   LifeOrder NoteLife(const Member& aMember);
@@ -387,12 +604,17 @@
   void Update(const Member& aMember);
   void AddOther(std::span<const OtherLoad> aLoads, std::int64_t aSign);
   void UseNews(State& aState);
-  /** What is believed of an engine of which no pace was seen yet. */
+  /**
+   * Returns the throughput assumed for an engine that has no samples of its
+   * own, from other engines of the service; 0 if none is known.
+   */
   double KindPaceOf(const Member& aMember) const;
   const PartNewsOf* NewsOf(std::uint32_t aMember) const;
 
   std::map<std::string, State, std::less<>> m_members;
-  /** When the latest life of each id was born, also of members that have gone.
+  /**
+   * Start time of the latest incarnation of each id, including members that
+   * were removed.
    */
   std::unordered_map<std::string, std::int64_t> m_born;
   std::unordered_map<std::uint32_t, std::string> m_byShortHash;
@@ -402,8 +624,9 @@
   std::map<std::string, std::vector<std::uint32_t>, std::less<>> m_apart;
   std::vector<std::uint32_t> m_recalledApart;
   std::deque<std::pair<Instant, KeptPart>> m_ownReads;
-  std::map<std::string, ServiceBelief, std::less<>> m_beliefs; ///< By service.
-  /** By service: of long prompts, and of short ones. */
+  /** Keyed by service. */
+  std::map<std::string, ServiceBelief, std::less<>> m_beliefs;
+  /** Estimate errors by service, for long prompts and for short ones. */
   std::map<std::string, Stretch, std::less<>> m_longStretch;
   std::map<std::string, Stretch, std::less<>> m_shortStretch;
 };
--- a/packages/relay/include/ridgeferry/relay/HallLoads.h
+++ b/packages/relay/include/ridgeferry/relay/HallLoads.h
@@ -9,21 +9,28 @@
 namespace ridgeferry::relay {
 
 /**
- * What the instances of one hall have under way together, for those of other
- * halls: with hundreds of instances each cannot tell each other often enough.
- * Told
- * to all, 295 instances knew of each other's calls, which last a tenth of a
- * second, 0.6 s late on average (computed from the time between two words).
- * Decisions only; not thread-safe.
+ * Sums the loads of all instances of one data centre, for announcement to other
+ * data centres.
+ *
+ * With hundreds of instances, each cannot send its load to every other one
+ * often enough. When all of 295 instances sent to all others, they learned of
+ * each other's calls, which last a tenth of a second, 0.6 s late on average
+ * (computed from the interval between two messages). This class only makes
+ * decisions and does no I/O. It is not thread-safe.
  */
 class HallLoads
 {
 public:
-  /** Replaces what an instance of the hall has under way; empty: nothing, or it
-   * has ended. */
+  /**
+   * Replaces the load of an instance of the data centre. An empty vector means
+   * that the instance has no load or has ended.
+   */
   void Set(const std::string& aInstance, std::vector<OtherLoad> aLoads);
 
-  /** The sum with `aOwn`, at most `aMost` members: those with most to read. */
+  /**
+   * Returns the sum of all instances' loads and `aOwn` for at most `aMost`
+   * members, those with the most tokens to prefill first.
+   */
   std::vector<OtherLoad> Sum(std::span<const OtherLoad> aOwn,
                              std::size_t aMost) const;
 
--- a/packages/relay/include/ridgeferry/relay/KeptParts.h
+++ b/packages/relay/include/ridgeferry/relay/KeptParts.h
@@ -6,45 +6,52 @@
 
 namespace ridgeferry::relay {
 
-/** An engine was given a shared part to read, or to use. */
+/** A prefix segment that an engine was sent to prefill or to use. */
 struct KeptPart
 {
-  std::uint32_t m_part = 0;   ///< `SharedPart::m_key`.
+  std::uint32_t m_part = 0;   ///< `PrefixSegment::m_key`.
   std::uint32_t m_member = 0; ///< `Fleet::ShortHash` of the engine's id.
   bool operator==(const KeptPart&) const = default;
 };
 
 /**
- * Which engines keep which shared parts, by what all instances had read there.
+ * Tracks which engines have which prefix segments in their KV cache, from the
+ * prefills of all instances.
  *
- * It answers loads with few large shared parts at engines that read slowly:
- * there a prompt that goes where its part is not kept takes several times the
- * reading of one that does, and in a peak there is no such reading to spare.
- * Homes by hash alone send it elsewhere as soon as the home is busy, and forget
- * it there.
+ * It addresses loads with few large shared prefixes on engines that prefill
+ * slowly. There, a prompt that goes to an engine without its prefix takes
+ * several times the prefill work, and at peak load no capacity is left for
+ * that. Prefix affinity by hash alone would send the prompt elsewhere as soon
+ * as the affinity target is busy, and would not remember where it went.
  *
- * Engines give up what was unused longest, so what was used lately is kept.
- * Decisions only; not thread-safe.
+ * Engines evict the least recently used entries, so what was used lately is
+ * still cached. This class only makes decisions and does no I/O. It is not
+ * thread-safe.
  */
 class KeptParts
 {
 public:
   /**
-   * For how long a part counts as kept after its last use. Engines of today
-   * keep 470,000 tokens and read up to 60,000 a second; with a third of that
-   * read for the first time, they turn over in some 20 s.
+   * How long a segment counts as cached after its last use. Current engines
+   * cache 470,000 tokens and prefill up to 60,000 a second. If a third of these
+   * are new, the cache is replaced in about 20 s.
    */
   static constexpr Duration kLife{ 20'000 };
 
-  /** The same at engines that generate: each call brings its whole prompt
-   * there, and they turn over in some 4 s. */
+  /**
+   * The same for decode engines. Every call brings its whole prompt there, so
+   * the cache is replaced in about 4 s.
+   */
   static constexpr Duration kLifeBesideOutput{ 4000 };
 
   void Note(const KeptPart& aPart, Instant aNow);
-  /** `aLife`: one of the two above. */
+  /**
+   * Returns whether the segment was used at the engine less than `aLife` ago.
+   * `aLife` must be `kLife` or `kLifeBesideOutput`.
+   */
   bool IsKept(const KeptPart& aPart, Duration aLife, Instant aNow) const;
 
-  /** The engine has started again, and keeps nothing. */
+  /** Removes all segments of an engine that restarted with an empty cache. */
   void ForgetMember(std::uint32_t aMember);
 
 private:
--- a/packages/relay/include/ridgeferry/relay/MedianPace.h
+++ b/packages/relay/include/ridgeferry/relay/MedianPace.h
@@ -7,10 +7,10 @@
 namespace ridgeferry::relay {
 
 /**
- * The pace of an engine by its last samples, in tokens a ms. A median: some
- * samples are far off either way, as others' prompts were ahead that this
- * instance did not know of, or as more was kept than it thought. Not
- * thread-safe.
+ * The throughput of an engine over its last samples, in tokens per millisecond.
+ * The median is used because some samples are far off in either direction:
+ * prompts of other instances were queued ahead without this instance knowing,
+ * or more of the prompt was cached than it assumed. Not thread-safe.
  */
 class MedianPace
 {
@@ -31,7 +31,7 @@
   }
   void Forget() { *this = MedianPace(); }
   std::size_t Count() const { return m_count; }
-  /** 0 before the first sample. */
+  /** Returns 0 before the first sample. */
   double Median() const { return m_median; }
 
 private:
--- a/packages/relay/include/ridgeferry/relay/Member.h
+++ b/packages/relay/include/ridgeferry/relay/Member.h
@@ -11,16 +11,17 @@
 /** What an upstream does with a call. */
 enum class Part : std::uint8_t
 {
-  Whole,    ///< A plain service: all of it.
-  Prefill,  ///< An engine that only reads prompts and hands their memory over.
-  Generate, ///< An engine that gives the output, and can read prompts slowly.
+  Whole, ///< A plain service, which handles the whole call.
+  /** An engine that only prefills prompts and hands over their KV cache. */
+  Prefill,
+  Generate, ///< An engine that decodes, and can also prefill, but slowly.
 };
 
-/** For logs: `whole`, `read` or `generate`. */
+/** Returns the role's name for logs: `whole`, `read` or `generate`. */
 std::string_view
 NameOf(Part aPart);
 
-/** An upstream as the platform lists it. */
+/** An upstream as the list of the platform shows it. */
 struct Member
 {
   std::string m_id;
--- a/packages/relay/include/ridgeferry/relay/PartDesk.h
+++ b/packages/relay/include/ridgeferry/relay/PartDesk.h
@@ -12,12 +12,16 @@
 
 namespace ridgeferry::relay {
 
-/** What an engine says of itself; its words are some hundred ms old. */
+/**
+ * An engine's own report of its state. A report is some hundred milliseconds
+ * old when it is used.
+ */
 struct EngineReport
 {
   Part m_part = Part::Generate;
-  bool m_changing = false;        ///< An order is under way.
-  std::int64_t m_ordersTaken = 0; ///< Since its start.
+  bool m_changing = false; ///< The engine is carrying out an order.
+  /** Number of orders accepted since the engine started. */
+  std::int64_t m_ordersTaken = 0;
   /** See `UpstreamLife::m_born`. */
   std::optional<std::int64_t> m_born = {};
 };
@@ -25,27 +29,37 @@
 /** How an engine answered an order. */
 enum class OrderAnswer : std::uint8_t
 {
-  Taken,   ///< Under way, or it holds already.
-  Refused, ///< It will not be carried out.
-  Lost,    ///< No answer: it may be carried out, also seconds later.
+  Taken,   ///< The engine is carrying it out, or already has that role.
+  Refused, ///< The engine will not carry the order out.
+  /**
+   * No answer. The engine may still carry the order out, even seconds later.
+   */
+  Lost,
 };
 
-/** What other instances are to know of an engine ahead of the list. */
+/**
+ * A role update for other instances, announced before the list of members shows
+ * the role.
+ */
 struct PartNews
 {
   std::string m_engine;
-  std::optional<Part> m_part; ///< Nothing: between two parts.
+  /** The new role, or empty while the engine changes roles. */
+  std::optional<Part> m_part;
   bool operator==(const PartNews&) const = default;
 };
 
-// ---- events ----
+// Events.
 
-/** Whether this instance may order: asked again right before each send. */
+/**
+ * Reports time passing. `m_mayOrder` tells whether this instance may send
+ * orders; the caller checks it again right before each send.
+ */
 struct DeskTick
 {
   bool m_mayOrder = false;
 };
-/** Engines that should do something else. */
+/** Requests that engines change roles. */
 struct ChangesWanted
 {
   std::vector<PartChange> m_changes;
@@ -53,14 +67,15 @@
 struct ReportCame
 {
   std::string m_engine;
-  std::optional<EngineReport> m_report; ///< Nothing: no whole answer.
+  /** Empty if no complete report arrived. */
+  std::optional<EngineReport> m_report;
 };
 struct OrderAnswered
 {
   std::string m_engine;
   OrderAnswer m_answer = OrderAnswer::Lost;
 };
-/** It has left the list for good. */
+/** Reports that an engine was removed from the list for good. */
 struct EngineGone
 {
   std::string m_engine;
@@ -68,7 +83,7 @@
 using DeskEvent =
   std::variant<DeskTick, ChangesWanted, ReportCame, OrderAnswered, EngineGone>;
 
-// ---- actions ----
+// Actions.
 
 struct AskReport
 {
@@ -78,65 +93,99 @@
 {
   std::string m_engine;
   Part m_to = Part::Prefill;
-  /** The order is void unless the engine has taken just so many before. */
+  /**
+   * The number of orders that the engine must have accepted before; otherwise
+   * it ignores this order.
+   */
   std::int64_t m_expectedOrders = 0;
 };
-/** `News()` has changed: tell the other instances now. */
+/**
+ * Asks the caller to announce the changed result of `RoleUpdates()` to the
+ * other instances now.
+ */
 struct TellNews
 {};
 using DeskAction = std::variant<AskReport, SendPartOrder, TellNews>;
 
 /**
- * Carries changes of engines' parts through, one open change an engine.
+ * Carries out role changes of engines, with at most one open change per engine.
  *
- * First all instances are told that the engine changes, so that nobody sends to
- * it any more. Then the engine is asked how many orders it has taken, and the
- * order names that count: one that is carried out late, after another one, is
- * void, so that two orders never conflict even where engines do not check
- * fencing numbers. After an order without an answer the reports tell whether it
- * was taken; if not, the next one names the same count, so one of the two is
- * void. At last the news of the new part go on until the list has it.
+ * The controller first announces the change to all instances, so that none
+ * sends new calls to the engine. It then asks the engine how many orders it has
+ * accepted and names that count in the order. An order that arrives late, after
+ * another one, names an outdated count and is ignored, so two orders never
+ * conflict even if engines do not check fencing numbers. If an order gets no
+ * answer, later reports tell whether the engine accepted it; if not, the next
+ * order names the same count, so that only one of the two takes effect. After
+ * the change the controller keeps announcing the new role until the list shows
+ * it.
  *
- * An engine that starts again under its id counts its orders anew, and nothing
- * that was ordered of the life before it is under way there: the change ends.
+ * An engine that restarts under the same id counts its orders from zero, and no
+ * order to the earlier incarnation is in progress there. The controller
+ * therefore abandons the change.
  *
- * Orders leave only while `DeskTick` says that this instance may order. What
- * was ordered before is watched to its end. A pure state machine; not
- * thread-safe.
+ * The controller sends orders only while `RoleChangeTick` says that this
+ * instance may order. It follows orders that were already sent to their end in
+ * any case. This class is a pure state machine and is not thread-safe.
  */
 class PartDesk
 {
 public:
-  /** From the news to the order: three talks of the instances, so that the loss
-   * of two datagrams costs only a call that is placed again. */
+  /**
+   * Time between announcing a change and ordering it: three gossip rounds of
+   * the instances. If two datagrams are lost, the only cost is a call that has
+   * to be placed again.
+   */
   static constexpr Duration kAnnounce{ 120 };
-  /** After an order without an answer, and without a sign of it in the reports:
-   * the next one names the same count, so that only one of the two can take
-   * effect. Reports are 0.2 s old, and a sound engine answers at once. */
+  /**
+   * How long to wait after an order without an answer before ordering again, if
+   * no report shows that the engine accepted the order. The next order names
+   * the same count, so that only one of the two can take effect. Reports are
+   * 0.2 s old, and a sound engine answers at once.
+   */
   static constexpr Duration kOrderAgain{ 1000 };
-  /** Between two reports of an engine that changes: as old as a report is. */
+  /**
+   * Time between two reports from an engine that is changing roles; equal to
+   * the age of a report.
+   */
   static constexpr Duration kAskEvery{ 200 };
-  /** Reports asked for in one tick, those that waited longest first: with a
-   * tick of 50 ms sixty a second, a tenth of the smallest instance's processor.
+  /**
+   * Maximum number of reports requested per tick, starting with the engines
+   * that have waited longest. With a tick of 50 ms this is 60 reports a second,
+   * which take a tenth of the processor of the smallest instance.
    */
   static constexpr std::size_t kMostAsksATick = 3;
-  /** An engine that did not follow an order by then is as the list says: well
-   * above the seconds of a change with a long stream's end before it. */
+  /**
+   * If an engine has not carried out an order by then, its role is taken from
+   * the list again. A change takes some seconds, including the end of a long
+   * stream before it, which is well below this limit.
+   */
   static constexpr Duration kLongest{ 12'000 };
-  /** How long an engine that refused or did not answer is left alone. */
+  /**
+   * How long an engine that refused or did not answer gets no further orders.
+   */
   static constexpr Duration kPause{ 1500 };
-  /** How long the news of a finished change go on: heartbeats of an engine and
-   * reads of the list take up to three seconds together. */
+  /**
+   * How long the role update of a finished change is announced. The engine's
+   * heartbeat and the reading of the list together take up to three seconds.
+   */
   static constexpr Duration kNewsLife{ 4000 };
 
   std::vector<DeskAction> Handle(const DeskEvent& aEvent, Instant aNow);
 
-  /** Engines whose part is known better here than in the list. */
+  /**
+   * Returns the engines whose role this controller knows before the list shows
+   * it.
+   */
   std::vector<PartNews> News() const;
-  /** The part that an engine is on its way to; nothing: it is on none that is
-   * known here. */
+  /**
+   * Returns the role that the engine is changing to, or std::nullopt if no
+   * change is known here.
+   */
   std::optional<Part> TargetOf(const std::string& aEngine) const;
-  /** Whether nothing may be wanted of it for now. */
+  /**
+   * Returns whether no role change should be requested of the engine for now.
+   */
   bool IsLeftAlone(const std::string& aEngine) const;
 
 private:
@@ -144,21 +193,25 @@
 
   enum class Step : std::uint8_t
   {
-    Announced, ///< Others are told; the order waits.
-    Asking,    ///< For the count of orders that it has taken.
-    Ordering,  ///< The order's answer is awaited.
-    Doubtful,  ///< No answer: it serves on as before until a report tells.
-    Watching,  ///< Under way.
-    Done,      ///< News only.
-    Paused,    ///< Left alone for a while.
+    Announced, ///< The change was announced; the order is still to come.
+    Asking,    ///< The engine was asked how many orders it has accepted.
+    Ordering,  ///< The order was sent and its answer is awaited.
+    /**
+     * The order got no answer; the engine keeps its role until a report says
+     * otherwise.
+     */
+    Doubtful,
+    Watching, ///< The engine is changing roles.
+    Done,     ///< The change is finished and only announced.
+    Paused,   ///< The engine gets no further orders for a while.
   };
   struct Change
   {
     Part m_to = Part::Prefill;
     Step m_step = Step::Announced;
-    Instant m_since; ///< In this step.
-    Instant m_asked; ///< Last report asked for.
-    /** Of the life that the first report was of. */
+    Instant m_since; ///< When this step began.
+    Instant m_asked; ///< When the last report was requested.
+    /** Start time of the engine's incarnation, from the first report. */
     std::optional<std::int64_t> m_born;
   };
 
@@ -168,14 +221,15 @@
   void On(const OrderAnswered& aEvent, Instant aNow, Actions& aActions);
   void On(const EngineGone& aEvent, Instant aNow, Actions& aActions);
   void GoTo(Change& aChange, Step aStep, Instant aNow);
-  /** What time alone brings. */
+  /** Applies the transitions that depend only on elapsed time. */
   void Advance(Change& aChange, Instant aNow);
   static bool IsToBeAsked(const Change& aChange, Instant aNow);
   void Ask(const std::string& aEngine, Instant aNow, Actions& aActions);
   static bool IsOver(const Change& aChange, Instant aNow);
 
   bool m_mayOrder = false;
-  bool m_newsChanged = false; ///< By the event that is handled.
+  /** Whether the event being handled changed the role updates. */
+  bool m_newsChanged = false;
   std::map<std::string, Change> m_changes;
 };
 
--- a/packages/relay/include/ridgeferry/relay/PartPlan.h
+++ b/packages/relay/include/ridgeferry/relay/PartPlan.h
@@ -10,17 +10,18 @@
 
 namespace ridgeferry::relay {
 
-/** An engine as a plan of parts sees it. */
+/** An engine as input to a plan of roles. */
 struct PlannedEngine
 {
   std::string m_id;
   std::string m_hall;
-  Part m_part = Part::Generate; ///< The one it is on its way to, if any.
-  std::int64_t m_running = 0;   ///< Calls there, of all instances.
-  bool m_changes = false;       ///< It is on its way already.
+  /** The current role, or the target role while the engine changes. */
+  Part m_part = Part::Generate;
+  std::int64_t m_running = 0; ///< Calls in flight there from all instances.
+  bool m_changes = false;     ///< Whether the engine is already changing roles.
 };
 
-/** An engine should do something else from now on. */
+/** Requests that an engine take on another role. */
 struct PartChange
 {
   std::string m_engine;
@@ -29,33 +30,39 @@
 };
 
 /**
- * How many engines generate: as few as the output needs, and all others read.
+ * Plans how many engines decode: only as many as the running output needs. All
+ * others prefill.
  *
- * It answers loads whose prompts are long and whose outputs are short, at
- * engines that cannot read beside the output without pauses in it: then an
- * engine that generates and is not needed for it is idle, while prompts wait.
+ * The plan addresses loads with long prompts and short outputs, on engines that
+ * cannot prefill while they decode without pausing the output. There, a decode
+ * engine that the output does not need stays idle while prompts wait.
  *
- * Each hall keeps some of both kinds, so that it serves while it is cut off.
- * Decisions only; not thread-safe.
+ * Each data centre keeps engines of both roles, so that it can serve while it
+ * is cut off from the others. This class only makes decisions and does no I/O.
+ * It is not thread-safe.
  */
 class PartPlanner
 {
 public:
   /**
-   * How long a hall must be short of generating engines before a reader takes
-   * over: a crashed engine is back in two to four seconds, and a list that was
-   * cut off brings its engines back in two; a change takes three itself.
+   * How long a data centre must be short of decode engines before a prefill
+   * engine replaces one. A crashed engine is back within two to four seconds,
+   * and a list that was unreachable shows its engines again within two, while a
+   * change itself takes three.
    */
   static constexpr Duration kShortFor{ 3000 };
 
-  /** `aNeeded`: generating engines that the output keeps busy, of all halls.
-   * Returns the changes that are due now, least busy engines first. */
+  /**
+   * Returns the role changes that are due now, starting with the least busy
+   * engines. `aNeeded` is the number of decode engines that the output of all
+   * data centres keeps busy.
+   */
   std::vector<PartChange> Plan(std::span<const PlannedEngine> aEngines,
                                double aNeeded,
                                Instant aNow);
 
 private:
-  /** Halls that are short of generating engines, and since when. */
+  /** For each data centre that is short of decode engines, since when it is. */
   std::map<std::string, Instant> m_shortSince;
 };
 
--- a/packages/relay/include/ridgeferry/relay/Patience.h
+++ b/packages/relay/include/ridgeferry/relay/Patience.h
@@ -5,9 +5,11 @@
 namespace ridgeferry::relay {
 
 /**
- * How long a prompt may wait for its first token: seven tenths of its aim.
- * The rest is the way there and back, the first event's other tokens, and what
- * other instances have sent meanwhile.
+ * Returns the admission bound of a prompt: it is refused if its first token is
+ * expected later than this. The bound is seven tenths of the first-token target
+ * `aAim`. The remaining three tenths are for the network round trip, the other
+ * tokens of the first event, and the calls that other instances have sent in
+ * the meantime.
  */
 inline Duration
 PatienceOf(Duration aAim)
--- a/packages/relay/include/ridgeferry/relay/Placement.h
+++ b/packages/relay/include/ridgeferry/relay/Placement.h
@@ -12,89 +12,128 @@
 
 namespace ridgeferry::relay {
 
-/** Where a call should go: what is asked of a `Fleet`. */
+/** A call that needs an upstream, as input to `Fleet::FindPlace`. */
 struct PlaceRequest
 {
   std::string_view m_service;
-  std::string_view m_hall;        ///< Of this instance.
-  std::optional<Prompt> m_prompt; ///< Nothing: a plain call.
+  std::string_view m_hall;        ///< Data centre of this instance.
+  std::optional<Prompt> m_prompt; ///< Empty for a call to a plain service.
   std::span<const std::string> m_excluded;
-  /** Most connections of this instance to one upstream. */
+  /** Maximum number of connections from this instance to one upstream. */
   std::int64_t m_mostOpen = std::numeric_limits<std::int64_t>::max();
-  std::uint64_t m_random = 0; ///< Breaks ties.
-  /** The mean prompt of its kind of call; nothing: the prompt itself. */
+  std::uint64_t m_random = 0; ///< Breaks ties and draws candidates.
+  /** The mean prompt of this kind of call; empty to use the prompt itself. */
   std::optional<Prompt> m_typical = {};
-  /** Where the first token of a typical prompt would come later than this,
-   * there is no place. */
+  /**
+   * Admission bound: the call is refused if the first token of a typical prompt
+   * would arrive later than this.
+   */
   Duration m_patience = Duration::max();
-  /** It may have a place only because it is smaller: see `SizeAllowance`. */
+  /**
+   * Whether the call may be admitted only because its prompt is smaller than a
+   * typical one; see `SizeAllowance`.
+   */
   bool m_mayPassForItsSize = false;
-  /** Longest pause between two events that keeps the answer in time; 0: not
-   * known. */
+  /**
+   * The longest pause between two events for which the answer still counts as
+   * being in time; 0 if unknown.
+   */
   Duration m_pause{};
-  /** The shortest aim of all prompts of the service; 0: not known. */
+  /**
+   * The shortest first-token target of all prompts of the service; 0 if
+   * unknown.
+   */
   Duration m_shortestAim{};
-  /** Tokens of a prompt's memory that pass between two engines in a ms; 0: they
-   * do not fetch from each other. */
+  /**
+   * Speed of a KV transfer between two engines, in tokens per millisecond; 0 if
+   * engines do not fetch from each other.
+   */
   double m_movedPerMs = 0;
-  /** How long the caller will still wait for the first token. Where engines
-   * read apart, a prompt that misses its aim still has a place if it fits in
-   * this. */
+  /**
+   * How long the caller will still wait for the first token. If the service
+   * does not allow colocated prefill, a prompt that misses its target is still
+   * placed as long as it fits in this time.
+   */
   Duration m_left = Duration::max();
-  /** Until its caller gives up if nothing has come: at the least its own
-   * reading has to fit in this. */
+  /**
+   * Time until the caller gives up if nothing has arrived. The prompt's own
+   * prefill must fit in this time.
+   */
   Duration m_untilGivenUp = Duration::max();
 };
 
-/** When a prompt's first token is expected at an engine, by its parts, in ms.
+/**
+ * The estimated time to a prompt's first token at an engine, split into waiting
+ * and the prompt's own prefill, in milliseconds.
  */
 struct Expectation
 {
-  double m_waitMs = 0; ///< What others have it do first, and the ways.
-  double m_ownMs = 0;  ///< Reading it.
+  double m_waitMs = 0; ///< Work queued ahead, and network round trips.
+  double m_ownMs = 0;  ///< Prefill of the prompt itself.
 };
 
 struct Place
 {
   std::string m_upstream;
-  std::string m_reader; ///< Empty: the upstream reads the prompt itself.
-  /** Of a prompt: when its first token should come, by loads and paces alone,
-   * without what `NoteFirstToken` has taught. */
+  /** Engine that prefills the prompt; empty if `m_upstream` does. */
+  std::string m_reader;
+  /**
+   * For a prompt, the estimated time to its first token, in milliseconds. The
+   * estimate uses only loads and throughput, without the correction learned
+   * from `NoteFirstToken`.
+   */
   double m_expectedMs = 0;
-  /** The reader fetches from there what it does not keep itself; empty: it
-   * reads all of that. */
+  /**
+   * Engine from which the prefill engine fetches the cached prefix tokens that
+   * it lacks. If empty, the prefill engine computes them itself.
+   */
   std::string m_fetchFrom = {};
-  /** Work that the reader has to do; see `Fleet::WorkOf`. */
+  /** Work that the prefill engine has to do; see `Fleet::WorkOf`. */
   std::int64_t m_work = 0;
-  /** It misses its aim: it is to stand behind those that still can meet it. */
+  /**
+   * Whether the prompt misses its first-token target. The engine should queue
+   * it behind prompts that can still meet theirs.
+   */
   bool m_late = false;
-  /** A typical prompt of its kind would have had no place. */
+  /**
+   * Whether the call was admitted only for its small size: a typical prompt of
+   * its kind would have been refused.
+   */
   bool m_forItsSize = false;
 };
 
-/** Why there is no place. */
+/** Why a call has no place. */
 enum class NoPlaceCause : std::uint8_t
 {
-  NoneSound, ///< No upstream is listed, or none is sound.
-  Full,      ///< Too much waits everywhere.
-  TooLarge,  ///< No engine could read it in its caller's time, idle or not.
+  NoneSound, ///< No upstream of the service is listed, or none is sound.
+  Full, ///< Every sound upstream has too much queued or too many connections
+        ///< open.
+  /**
+   * No engine, even an idle one, could prefill it before the caller gives up.
+   */
+  TooLarge,
 };
 
 struct PlaceFault
 {
   NoPlaceCause m_cause = NoPlaceCause::NoneSound;
-  Duration m_roomIn{}; ///< If full: when there should be room.
-  /** Of a prompt, but for `NoneSound`: what decided it, at the engine where it
-   * would have been soonest. The reading is a typical prompt's, unless it is
-   * itself too large. */
+  /** For `Full`, the time after which there should be room. */
+  Duration m_roomIn{};
+  /**
+   * For a prompt and any cause but `NoneSound`, the estimate that led to the
+   * refusal, at the engine that would have been soonest. `m_ownMs` is that of a
+   * typical prompt, unless the prompt itself is too large.
+   */
   Expectation m_expected = {};
-  double m_boundMs = 0; ///< What the expectation was held against.
+  /** The bound that the estimate exceeded, in milliseconds. */
+  double m_boundMs = 0;
 };
 
 /**
- * It misses its aim whatever happens, and there will be room for it in its
- * caller's time: it is to be placed later, so that it takes nothing from those
- * that can still meet theirs.
+ * The result for a prompt that will miss its first-token target in any case,
+ * but for which there will be room before its caller gives up. The call should
+ * be placed again later, so that it takes no capacity from prompts that can
+ * still meet their targets.
  */
 struct PlaceLater
 {};
--- a/packages/relay/include/ridgeferry/relay/Prompt.h
+++ b/packages/relay/include/ridgeferry/relay/Prompt.h
@@ -5,26 +5,38 @@
 
 namespace ridgeferry::relay {
 
-/** A part of a prompt that other calls share, with all parts before it. */
+/**
+ * A segment of a prompt's prefix that other calls share, together with all
+ * segments before it.
+ */
 struct SharedPart
 {
-  std::uint32_t m_key = 0; ///< Of it and all parts before it.
+  /** Identifies this segment and all segments before it. */
+  std::uint32_t m_key = 0;
   std::int64_t m_tokens = 0;
   bool operator==(const SharedPart&) const = default;
 };
 
-/** What a prompt costs to read, in tokens. */
+/**
+ * The sizes of a prompt and its output, in tokens, which determine the cost of
+ * its prefill.
+ */
 struct Prompt
 {
-  /** Of the parts that other calls share, in order; 0: it shares none. */
+  /**
+   * Identifies the whole sequence of prefix segments; 0 if the prompt shares
+   * none.
+   */
   std::uint64_t m_sharedKey = 0;
   std::int64_t m_sharedTokens = 0;
   std::int64_t m_ownTokens = 0;
   std::int64_t m_outTokens = 0;
-  /** Of the shared ones, in the first of several parts: so many calls share it
-   * that every engine keeps it. */
+  /**
+   * Those of `m_sharedTokens` that are in the first of several segments. So
+   * many calls share that segment that every engine has it cached.
+   */
   std::int64_t m_commonTokens = 0;
-  std::vector<SharedPart> m_parts = {}; ///< The shared ones, in order.
+  std::vector<SharedPart> m_parts = {}; ///< The prefix segments, in order.
 };
 
 } // namespace ridgeferry::relay
--- a/packages/relay/include/ridgeferry/relay/ReadingBeside.h
+++ b/packages/relay/include/ridgeferry/relay/ReadingBeside.h
@@ -5,30 +5,42 @@
 namespace ridgeferry::relay {
 
 /**
- * Whether engines that generate may read prompts beside it, learned from what
- * prompts take there and from the pauses of the streams.
+ * Learns whether the decode engines of a service can also prefill prompts
+ * (colocated prefill), from the duration of prefills there and from pauses in
+ * the streams.
  *
- * Each piece of a prompt that is read between two tokens holds up all streams
- * of that engine. At engines that read a typical prompt in a small part of the
- * pause that callers allow nobody notices, and all engines may read. At slower
- * ones most streams come late though no first token does: there prompts have to
- * be read apart.
+ * Each chunk of a prompt that an engine prefills between two decode steps
+ * delays all its streams. If the engine prefills a typical prompt in a small
+ * part of the pause that callers accept, nobody notices, and all engines may
+ * prefill. On slower engines most streams are late although no first token is;
+ * there, prefill must be disaggregated.
  *
- * Both have to be seen: under overload prompts wait at engines of any kind, and
- * a crash pauses streams of any kind. Decisions only; not thread-safe.
+ * Both slow prefill and pauses must be observed before colocated prefill is
+ * disallowed: under overload prompts wait at engines of any speed, and a crash
+ * pauses streams of any engine. This class only makes decisions and does no
+ * I/O. It is not thread-safe.
  */
 class ReadingBeside
 {
 public:
-  /** A long prompt was asked for: the work (`Fleet::WorkToRead`) to read it
-   * whole, as after each loss of what was kept. */
+  /**
+   * Records that a caller sent a long prompt. `aWork` is the work
+   * (`Fleet::WorkToRead`) to prefill it without any cached prefix, as after
+   * each loss of the cache. `aPause` is the longest pause between events that
+   * the caller accepts.
+   */
   void NotePrompt(double aWork, Duration aPause);
-  /** So much work was read in a ms by an engine that generates. */
+  /**
+   * Records that a decode engine did `aPace` units of prefill work per
+   * millisecond.
+   */
   void NotePace(double aPace);
-  /** A stream of that service has ended without a pause between its events that
-   * its caller would mind, or has just had one. */
+  /**
+   * Records that a stream of the service ended without a pause that its caller
+   * would mind (`aPaused` is false), or has just had such a pause.
+   */
   void NoteStream(bool aPaused);
-  /** True until enough was seen. */
+  /** Returns whether decode engines may prefill. True until enough was seen. */
   bool IsAllowed() const { return m_allowed; }
 
 private:
--- a/packages/relay/src/DrawnChoice.h
+++ b/packages/relay/src/DrawnChoice.h
@@ -7,11 +7,12 @@
 namespace ridgeferry::relay {
 
 /**
- * The better of two drawn items. Many instances see the same loads, all of them
- * a little old: if each took the least loaded engine, that one would be the
- * most loaded next, by all short prompts of a second.
+ * Returns the better of two randomly drawn items. Many instances see the same,
+ * slightly outdated loads. If each chose the least loaded engine, that engine
+ * would get all short prompts of a second and become the most loaded one.
  *
- * Precondition: there is an item. `aLess`: whether the first one is better.
+ * Precondition: `aItems` is not empty. `aLess` returns whether its first
+ * argument is the better one.
  */
 template<typename Item, typename Less>
 const Item&
--- a/packages/relay/src/EnginePace.h
+++ b/packages/relay/src/EnginePace.h
@@ -4,17 +4,25 @@
 
 namespace ridgeferry::relay {
 
-/** What a first token takes however short its prompt is, in ms: ways, steps and
- * the other calls of a step. */
+/**
+ * Minimum time to a first token, in ms, even of a short prompt: network round
+ * trips, decode steps, and the other calls of a step.
+ */
 inline constexpr double kFirstTokenMs = 15;
-/** Paces until one was seen, in tokens a ms: of engines of today's kind. */
+/**
+ * Throughput assumed until a sample was measured, in tokens per ms, for current
+ * engines.
+ */
 inline constexpr double kPrefillPace = 250;
 inline constexpr double kGeneratePace = 125;
 
-/** An engine that generates reads prompts at half the pace. */
+/** Decode engines prefill at half the speed of prefill engines. */
 inline constexpr double kGenerateReadCost = 2.0;
 
-/** The pace that is taken for an engine of that part until one was seen. */
+/**
+ * Returns the throughput assumed for an engine of that role until a sample was
+ * measured, in tokens per ms.
+ */
 inline double
 UnseenPace(Part aPart)
 {
--- a/packages/relay/src/Fleet.cpp
+++ b/packages/relay/src/Fleet.cpp
@@ -11,22 +11,32 @@
 
 namespace {
 
-/** Weight of the newest attempt in smoothed figures: about the last ten. */
+/**
+ * Weight of the newest sample in smoothed values, which therefore cover about
+ * the last ten samples.
+ */
 constexpr double kNewest = 0.1;
-/** Bounds of what is believed of a pace, and the least sample for it: below
- * that the way there counts more than the reading. */
+/**
+ * Bounds of a throughput sample, in work units per millisecond, and the least
+ * work of a usable sample. With less work the network round trip takes more of
+ * the time than the prefill.
+ */
 constexpr double kLowestPace = 10;
 constexpr double kHighestPace = 2000;
 constexpr std::int64_t kLeastPaceTokens = 1500;
-/** How long the lateness of first tokens is remembered: a peak rises within
- * half a second, and its end should be seen as soon. */
+/**
+ * Time constant for smoothing estimate errors. A load peak rises within half a
+ * second, and its end should be noticed as quickly.
+ */
 constexpr Duration kStretchMemory{ 500 };
-/** Bounds of that lateness, and the least expectation it is measured against:
- * the ways there alone take some milliseconds. */
+/**
+ * Bounds of the estimate error, and the least expected time that it is computed
+ * from: network round trips alone take some milliseconds.
+ */
 constexpr double kLeastStretch = 0.7;
 constexpr double kMostStretch = 6;
 constexpr double kLeastExpectedMs = 20;
-/** Most weight of one first token. */
+/** Maximum weight of a single first token in the estimate error. */
 constexpr double kMostStretchWeight = 0.5;
 
 double
@@ -170,7 +180,7 @@
   for (const OtherLoad& load : aLoads) {
     const auto id = m_byShortHash.find(load.m_member);
     if (id == m_byShortHash.end()) {
-      continue; // Not listed here yet.
+      continue; // The member is not listed here yet.
     }
     const auto found = m_members.find(id->second);
     if (found != m_members.end()) {
@@ -357,7 +367,9 @@
 {
   if (aState.m_restsUntil && aNow < *aState.m_restsUntil &&
       aState.m_mustProve) {
-    return; // Several calls end there at once.
+    // Several calls to the member fail at the same time; only the first one
+    // counts.
+    return;
   }
   aState.m_restsUntil = aNow + aState.m_rest;
   if (aState.m_mustProve) {
@@ -422,15 +434,18 @@
 {
   const auto found = m_members.find(aId);
   if (found == m_members.end()) {
-    return false; // It left meanwhile; what ran there counts no more.
+    // The member was removed in the meantime, and with it its load.
+    return false;
   }
   State& state = found->second;
-  // A member that lapsed and came back starts anew at none.
+  // A member that expired and was listed again has started from zero calls, so
+  // the counts must not become negative.
   state.m_inFlight = std::max<std::int64_t>(0, state.m_inFlight - 1);
   state.m_tokens = std::max<std::int64_t>(0, state.m_tokens - aTokens);
   const bool silent = IsSilent(state, aNow);
   if (state.m_inFlight == 0) {
-    state.m_unheardSince.reset(); // Nothing is awaited from it any more.
+    // No call to the member is unanswered any more.
+    state.m_unheardSince.reset();
   }
   const bool rests = silent && aEnd != AttemptEnd::Displaced;
   if (rests) {
--- a/packages/relay/src/FleetParts.cpp
+++ b/packages/relay/src/FleetParts.cpp
@@ -1,5 +1,6 @@
-// What engines do and keep, by what all instances tell each other: the part of
-// `Fleet` that plans of parts ask.
+// The part of `Fleet` that keeps the engines' roles, cached prefixes and
+// ability to colocate prefill, as all instances announce them to each other.
+// The planner of roles takes its input from here.
 
 #include "ridgeferry/relay/Fleet.h"
 
@@ -10,13 +11,18 @@
 
 namespace {
 
-/** Part of an engine's slots and memory that the output should take: bursts of
- * a third more still fit. */
+/**
+ * Share of an engine's slots and cache that the output should use. Bursts of a
+ * third more still fit.
+ */
 constexpr double kSteadyShare = 0.75;
-/** Other instances that must have found engines unable to read beside the
- * output before this one believes it: one may err by chance. */
+/**
+ * Number of other instances that must have found engines unable to sustain
+ * colocated prefill before this instance believes it. A single one may be wrong
+ * by chance.
+ */
 constexpr std::ptrdiff_t kWitnesses = 2;
-/** Own reads that are older are not told any more. */
+/** Age from which own prefills are no longer announced. */
 constexpr Duration kTellReadsFor{ 2000 };
 
 } // namespace
@@ -43,7 +49,7 @@
   aState.m_member.m_part =
     news != nullptr && news->m_part ? *news->m_part : aState.m_listedPart;
   if (aState.m_member.m_part != before) {
-    aState.m_pace.Forget(); // It was the pace of the other part.
+    aState.m_pace.Forget(); // The samples were taken in the other role.
     aState.m_metPace = 0;
   }
   aState.m_kindPace = KindPaceOf(aState.m_member);
@@ -74,7 +80,8 @@
   std::vector<PlannedEngine> out;
   for (const auto& [id, state] : m_members) {
     const Member& member = state.m_member;
-    // Also one that rests: it should be back before a change would be done.
+    // Ejected engines are included: they should be back before a role change
+    // would be finished.
     if (member.m_service == aService && !member.m_leaving && !state.m_goneAt &&
         member.m_part != Part::Whole) {
       out.push_back({ id,
@@ -187,7 +194,8 @@
 void
 Fleet::NoteRead(const Prompt& aPrompt, std::string_view aId, Instant aNow)
 {
-  // Only where somebody asks for it: each read told costs all peers some
+  // Only prefills of services with disaggregated prefill are announced, because
+  // no other placement uses them and each one costs every peer some
   // microseconds.
   const auto member = m_members.find(aId);
   const bool isTold = member != m_members.end() &&
--- a/packages/relay/src/FleetPlacement.cpp
+++ b/packages/relay/src/FleetPlacement.cpp
@@ -1,4 +1,4 @@
-// Where a call goes: the part of `Fleet` that chooses.
+// The part of `Fleet` that chooses the upstream of a call.
 
 #include "DrawnChoice.h"
 #include "EnginePace.h"
@@ -15,52 +15,92 @@
 
 namespace {
 
-/** What handing a prompt's memory over costs, in ms: the way there and back,
- * and a gigabyte at some terabits a second. */
+/**
+ * Time to hand over a prompt's KV cache, in ms: a network round trip, and the
+ * transfer of a gigabyte at some terabits a second.
+ */
 constexpr double kHandOverMs = 6;
-/** What one call that generates costs the next there, in ms. */
+/**
+ * How much each decoding call delays the next one on the same engine, in ms.
+ */
 constexpr double kRunningMs = 0.3;
-/** Bounds of the share of generators that read no long prompts, so that the
- * output of others comes steadily there. */
+/**
+ * Bounds of the share of decode engines that are reserved: they prefill no long
+ * prompts, so that they produce output steadily.
+ */
 constexpr double kLeastQuietShare = 0.12;
 constexpr double kMostQuietShare = 0.45;
-/** Above this share of its slots an engine counts as full: what others have
- * sent meanwhile is not known yet. */
+/**
+ * An engine counts as full above this share of its slots, because the calls
+ * that other instances have sent in the meantime are not known yet.
+ */
 constexpr double kFullShare = 0.85;
-/** Calls that generate at one engine before the next ones go elsewhere: their
- * contexts slow each step, and the longest outputs would miss their end. */
+/**
+ * Number of calls that decode on a reserved engine before another engine is
+ * reserved. The contexts of more calls would slow each decode step so much that
+ * the longest outputs would finish too late.
+ */
 constexpr double kMostSteady = 40;
-/** How much later the first token may come at a prompt's home than elsewhere:
- * what is kept there need not be read, which spares all that wait there. */
+/**
+ * How much later than on the best engine a prompt's first token may arrive on
+ * its affinity target, in ms. The shared prefix cached there need not be
+ * prefilled, which saves time for every prompt that waits there.
+ */
 constexpr double kHomeSlackMs = 100;
-/** How far a drawn reader may be behind the best one that is known. */
+/**
+ * How much later than on the best known engine the first token may arrive on a
+ * randomly drawn prefill engine, in ms.
+ */
 constexpr double kMostDrawnMs = 60;
-/** How much sooner the output of a prompt that was read elsewhere must begin at
- * another hall's engine, in ms: its memory takes twice as long to get there,
- * over links that all halls share. */
+/**
+ * How much sooner the output must begin on a decode engine of another data
+ * centre than on one in the prefill engine's data centre, in ms. The KV
+ * transfer takes twice as long to get there and uses links that all data
+ * centres share.
+ */
 constexpr double kAwayTakerMs = 5;
-/** How far a drawn engine may be behind the best one for such an output: a step
- * or two of it. */
+/**
+ * How much later than on the best decode engine the output may begin on a
+ * randomly drawn one, in ms: one or two decode steps.
+ */
 constexpr double kMostTakerMs = 8;
-/** Least expected time of a plain call before any was seen, in ms. */
+/** Assumed duration of a plain call before any was measured, in ms. */
 constexpr double kUnknownTookMs = 10;
-/** A member that fails all its calls looks this many times slower. */
+/**
+ * Weight of the share of failed attempts. A member whose calls all fail is
+ * rated `1 + kFailPenalty` times slower.
+ */
 constexpr double kFailPenalty = 8;
-/** Another hall costs a plain call this much more, in ms: its way there. */
+/**
+ * Additional cost of a plain call to another data centre, in ms: the network
+ * round trip.
+ */
 constexpr double kOtherHallMs = 3;
-/** When one of the connections in use should be free again: several times what
- * a plain call takes. */
+/**
+ * When one of the open connections should become free: several times the
+ * duration of a plain call.
+ */
 constexpr Duration kConnectionWait{ 100 };
-/** Tokens before a token at which attention to them costs as much as the rest
- * of its reading: 22,000 to 26,000 at dense models of 32 and 70 billion
- * weights. */
+/**
+ * Number of preceding tokens at which attention to them costs as much as the
+ * rest of a token's prefill. The value is between 22,000 and 26,000 for dense
+ * models with 32 and 70 billion weights.
+ */
 constexpr double kAttentionTokens = 24'000;
-/** Paces of an engine of its own that count more than those of its kind. */
+/**
+ * Number of clean samples from which on an engine's own throughput is used
+ * instead of that of other engines of its role.
+ */
 constexpr std::size_t kLeastOwnPaces = 4;
-/** What a random number is divided by for its second use: a prime above the
- * square of the engines of a service. */
+/**
+ * Divisor that derives a second draw from a random number. It is a prime
+ * greater than the square of the number of engines of a service.
+ */
 constexpr std::uint64_t kNextDraw = 1'000'003;
-/** Below this a prompt is not worth a home: reading it takes a millisecond. */
+/**
+ * Shared prefixes with fewer tokens get no affinity target: prefilling them
+ * takes only a millisecond.
+ */
 constexpr std::int64_t kLeastSharedTokens = 512;
 
 double
@@ -84,7 +124,8 @@
   const auto tokens = static_cast<double>(aTokens);
   const auto whole =
     static_cast<double>(aPrompt.m_sharedTokens + aPrompt.m_ownTokens);
-  const double before = whole - tokens / 2; // On average, of those read.
+  // Mean number of tokens that precede a prefilled token.
+  const double before = whole - tokens / 2;
   return std::llround(tokens * (1 + before / kAttentionTokens));
 }
 
@@ -131,8 +172,10 @@
 std::uint64_t
 Fleet::HomeOf(std::uint64_t aKey, std::string_view aService) const
 {
-  // One home: the fleet's memory holds the hot chains about once. Those that
-  // may be quiet at some time are nobody's home, so that homes stay.
+  // Each key has one affinity target, so the engines' caches together hold the
+  // hot prefixes about once. Engines that may be reserved for decoding at some
+  // time are never a target, so that targets do not move when the number of
+  // reserved engines changes.
   const std::uint64_t quietBelow = QuietBelow(aService, true);
   double best = -1;
   std::uint64_t home = 0;
@@ -191,14 +234,16 @@
     }
   }
   if (sound.empty() && !anyBusy) {
-    // All at once: more likely the connections than the members.
+    // If all members are unresponsive at once, the cause is more likely in the
+    // connections than in the members, so they are used all the same.
     sound = std::move(silent);
   }
   if (sound.empty()) {
     return anyBusy ? PlaceFault{ NoPlaceCause::Full, kConnectionWait }
                    : PlaceFault{};
   }
-  // Equal estimates are common when little is under way: start anywhere.
+  // Equal estimates are common under low load. Rotating the members by a random
+  // number keeps instances from all choosing the first one.
   std::rotate(sound.begin(),
               sound.begin() +
                 static_cast<std::ptrdiff_t>(aRequest.m_random % sound.size()),
@@ -266,8 +311,9 @@
 std::uint64_t
 Fleet::QuietBelow(std::string_view aService, bool aMost) const
 {
-  // The first ones by hash, as many as the running calls need: all instances
-  // see nearly the same numbers and agree on nearly the same engines.
+  // The reserved engines are those with the lowest hashes, as many as the
+  // running calls need. All instances see nearly the same numbers and therefore
+  // agree on nearly the same engines.
   std::vector<std::uint64_t> hashes;
   std::int64_t running = 0;
   std::int64_t slots = 1;
@@ -317,7 +363,8 @@
   }
   const Candidate& better =
     BetterOfTwo(aCandidates, aRequest.m_random, std::less<Candidate>());
-  // Not one that comes too late where the best one would not.
+  // The drawn engine is not used if its first token would arrive much later
+  // than that of the best one.
   const bool isFar = better.m_ms > aBest.m_ms + kMostDrawnMs;
   return isFar ? &aBest : &better;
 }
@@ -327,7 +374,8 @@
                  std::span<const State* const> aSound,
                  const PlaceRequest& aRequest)
 {
-  // What was handed over waits behind the prompts that are read there.
+  // A call that is handed over waits behind the prompts that are being
+  // prefilled on the decode engine.
   const auto takes = [&](const State* aState) {
     const bool away = aState->m_member.m_hall != aReader.m_member.m_hall;
     return FirstTokenMs(*aState, 0, MetPaceOf(*aState)) +
@@ -354,8 +402,9 @@
 Fleet::RefusalOf(std::span<const Candidate> aCandidates,
                  const PlaceRequest& aRequest) const
 {
-  // Held against the bound is what waits, not the call's own size: else a queue
-  // that lets small prompts pass would shut large ones out.
+  // Compares the bound with the queueing time and a typical prompt's prefill,
+  // not with the prefill of this prompt: otherwise a queue that lets small
+  // prompts pass would shut large ones out.
   const Candidate& soonest =
     *std::min_element(aCandidates.begin(),
                       aCandidates.end(),
@@ -420,7 +469,8 @@
   const std::uint64_t home =
     longPrompt ? HomeOf(prompt.m_sharedKey, aRequest.m_service) : 0;
   const std::uint64_t quietBelow = QuietBelow(aRequest.m_service, false);
-  // Output comes steadily where no long prompts are read.
+  // Output is produced steadily on engines that prefill no long prompts, so
+  // short prompts go there as long as there is room.
   const bool quietHasRoom =
     std::any_of(aSound.begin(), aSound.end(), [&](const State* aState) {
       return IsQuiet(*aState, quietBelow) && HasFreeSlots(*aState);
@@ -447,7 +497,7 @@
     }
   }
   if (generators.empty()) {
-    return PlaceFault{}; // Nobody could give the output.
+    return PlaceFault{}; // No engine could decode the output.
   }
   const auto& candidates = fitting.empty() ? generators : fitting;
   const Candidate& best =
--- a/packages/relay/src/FleetReaders.cpp
+++ b/packages/relay/src/FleetReaders.cpp
@@ -1,5 +1,5 @@
-// Where a prompt is read when none is read beside the output: the part of
-// `Fleet` that chooses among engines that only read.
+// The part of `Fleet` that chooses the prefill engine of a prompt if the
+// service does not allow colocated prefill.
 
 #include "ridgeferry/relay/Fleet.h"
 
@@ -14,43 +14,66 @@
 
 namespace {
 
-/** What waits at a reader before a prompt that misses its aim anyway, at most,
- * in ms with what a first token takes at least: next to nothing. */
+/**
+ * Maximum wait at a prefill engine, in ms, for a prompt to be sent there that
+ * misses its first-token target anyway. It includes the minimum time of a first
+ * token, so next to nothing may be queued.
+ */
 constexpr double kRoomMs = 60;
-/** What may wait at a reader before prompts that can still meet their aim, as
- * parts of the shortest aim of the service: a long aim must not fill the
- * readers until no short one can be met. Kinds of call whose prompts take up to
- * this part of it to read are let in before others: more callers are served in
- * time by the same reading. */
+/**
+ * Maximum wait at a prefill engine for prompts that can still meet their
+ * target, as shares of the shortest first-token target of the service. The
+ * shortest target is used so that prompts with a long target do not fill the
+ * engines until no short target can be met. Kinds of call whose typical prefill
+ * takes up to `kShortReading` of that target may wait longer and so are
+ * admitted before others, because the same prefill capacity then serves more
+ * callers in time.
+ */
 constexpr double kShortReading = 0.15;
 constexpr double kAheadOfShort = 0.5;
 constexpr double kAheadOfLong = 0.25;
-/** Part of the allowed pause that may be unread at a generating engine with a
- * typical prompt that is read there all the same: next to one short one. The
- * next one waits until it was read, so that at most two thirds of the steps
- * read. */
+/**
+ * A typical prompt may be prefilled on a busy decode engine if all prefill work
+ * there, including the prompt, takes at most this share of the allowed pause.
+ * There is then room for about one short prompt. The next one has to wait until
+ * it is done, so that at most two thirds of the steps prefill.
+ */
 constexpr double kBesideShare = 0.3;
-/** The same with a prompt that is larger than others of its kind. */
+/**
+ * The same limit for the prompt itself, which may be larger than others of its
+ * kind.
+ */
 constexpr double kMostBesideShare = 0.6;
-/** What an estimate that far ahead may be wrong by, at least. */
+/** Minimum error to expect of an estimate that far ahead, in ms. */
 constexpr double kLeastSpareMs = 150;
-/** How far behind the best reader a drawn one may be. */
+/**
+ * How much higher than the best engine's cost the cost of a randomly drawn
+ * engine may be, in ms.
+ */
 constexpr double kMostDrawnMs = 15;
-/** What a ms of reading costs the prompts that wait behind it, in ms of the one
- * that is placed. */
+/**
+ * Cost of one ms of prefill to the prompts that wait behind it, in ms of the
+ * prompt that is placed.
+ */
 constexpr double kReadingWeight = 1;
-/** What the home by hash is worth: instances that see a chain for the first
- * time should not each have it read elsewhere. */
+/**
+ * Cost reduction of the affinity target, in ms. It keeps instances that see a
+ * chain of prefix segments for the first time from each having it prefilled on
+ * a different engine.
+ */
 constexpr double kHomeMs = 60;
-/** Calls under way, as a part of the slots, that another hall's generating
- * engine must have less: memory takes twice as long to get there. */
+/**
+ * A decode engine in another data centre is chosen only if it has this share of
+ * its slots fewer calls in flight, because the KV transfer takes twice as long
+ * to get there.
+ */
 constexpr double kAwayShare = 0.33;
 
-/** Fewer tokens are read sooner than fetched. */
+/** Fewer tokens than this are prefilled sooner than they are fetched. */
 constexpr std::int64_t kLeastFetched = 500;
-/** What begins and ends a fetch, in ms. */
+/** Time to start and finish a KV transfer, in ms. */
 constexpr double kFetchMs = 4;
-/** How much longer memory takes between two halls. */
+/** Factor by which a KV transfer between two data centres takes longer. */
 constexpr double kAwayMoves = 2;
 
 } // namespace
@@ -67,7 +90,8 @@
   std::int64_t kept = 0;
   for (const SharedPart& part : aPrompt.m_parts) {
     if (!m_kept.IsKept({ part.m_key, member }, life, aNow)) {
-      break; // A part counts only if all before it are kept too.
+      // A segment is usable only if all segments before it are cached too.
+      break;
     }
     kept += part.m_tokens;
   }
@@ -182,7 +206,7 @@
 Fleet::FitsBeside(const PlaceRequest& aRequest, const State& aState)
 {
   if (aState.m_inFlight + aState.m_othersInFlight == 0) {
-    return true; // Nobody's output waits for it.
+    return true; // No output would be delayed.
   }
   const auto waits =
     static_cast<double>(aState.m_tokens + aState.m_othersTokens);
@@ -191,7 +215,8 @@
     const auto work = static_cast<double>(WorkToRead(aPrompt, false));
     return (waits + work) / PaceOf(aState) <= aShare * pause;
   };
-  // By its kind, so that the larger ones of a kind have a place there too.
+  // The main limit applies to a typical prompt, so that the larger prompts of a
+  // kind fit here as well.
   return fits(TypicalOf(aRequest), kBesideShare) &&
          fits(*aRequest.m_prompt, kMostBesideShare) && HasFreeSlots(aState);
 }
@@ -297,8 +322,8 @@
     }
   }
   const double stretch = StretchOf(aRequest.m_service, *aRequest.m_prompt);
-  // Whether there is room somewhere does not hang on the prompt's size; where
-  // it is best read does.
+  // Whether an engine has room does not depend on the prompt's own size; which
+  // of the engines is best does.
   const auto full = std::partition(
     readers.begin(), readers.end(), [&](const Candidate& aReader) {
       return HasRoom(aReader, aRequest, stretch);
@@ -312,7 +337,7 @@
   const State* taker =
     beside ? chosen.m_state : PickTaker(*chosen.m_state, aSound);
   if (taker == nullptr) {
-    return std::nullopt; // Nobody could give the output.
+    return std::nullopt; // No engine could decode the output.
   }
   Place place{ taker->m_member.m_id, {} };
   if (!beside) {
--- a/packages/relay/src/HomeScore.h
+++ b/packages/relay/src/HomeScore.h
@@ -7,7 +7,11 @@
 
 namespace ridgeferry::relay {
 
-/** Weighted rendezvous: the higher, the nearer; `aWeight` members' worth. */
+/**
+ * Returns the weighted rendezvous-hashing score of a member for a key. The
+ * member with the highest score is the key's affinity target. `aWeight` is the
+ * member's share of keys relative to a member of weight 1.
+ */
 inline double
 HomeScore(std::uint64_t aKey, std::uint64_t aMember, double aWeight)
 {
--- a/packages/relay/src/PartDesk.cpp
+++ b/packages/relay/src/PartDesk.cpp
@@ -78,7 +78,7 @@
     case Step::Ordering:
     case Step::Done:
     case Step::Paused:
-      break; // An answer or time ends them.
+      break; // These steps end with an answer or after some time.
   }
   return false;
 }
@@ -204,7 +204,7 @@
         break;
       case Step::Doubtful:
       case Step::Paused:
-        break; // As the list says.
+        break; // The role in the list applies.
     }
   }
   return out;
--- a/packages/relay/src/PartPlan.cpp
+++ b/packages/relay/src/PartPlan.cpp
@@ -8,15 +8,20 @@
 
 namespace {
 
-/** Generating engines that each hall keeps when others become readers, so that
- * one may be lost: a lost one is back in its first part sooner than another
- * could take its place, so only the last one of a hall is replaced. Halls with
- * fewer than six engines keep one. */
+/**
+ * Number of decode engines that each data centre keeps when others become
+ * prefill engines, so that one may be lost. A lost engine is back in its first
+ * role sooner than another could take its place, so only the last decode engine
+ * of a data centre is replaced. Data centres with fewer than `kSmallHall`
+ * engines keep one.
+ */
 constexpr std::size_t kLeastGenerating = 2;
 constexpr std::size_t kSmallHall = 6;
-/** What the need must fall below before generating engines become readers: a
- * change takes an engine away for seconds, so a need that swings by a fifth
- * moves nothing. */
+/**
+ * Decode engines become prefill engines only if there are more than the need
+ * times this factor. A change takes an engine out of service for seconds, so a
+ * need that swings by a fifth changes nothing.
+ */
 constexpr double kShrinkMargin = 1.2;
 
 struct HallEngines
@@ -33,7 +38,11 @@
   return aHall < kSmallHall ? 1 : kLeastGenerating;
 }
 
-/** Generating engines of a hall for a need; one engine of several reads. */
+/**
+ * Returns the number of decode engines that a data centre with `aHall` engines
+ * should have for a need of `aNeeded`: at least `aLeast`, and at most so many
+ * that one engine of several prefills.
+ */
 std::size_t
 AtLeast(std::size_t aHall, double aNeeded, std::size_t aLeast)
 {
--- a/packages/relay/src/ReadingBeside.cpp
+++ b/packages/relay/src/ReadingBeside.cpp
@@ -8,21 +8,34 @@
 
 namespace {
 
-/** Paces seen before anything is concluded: one may be chance. */
+/**
+ * Throughput samples that are needed for a decision, because one may be off by
+ * chance.
+ */
 constexpr int kLeastPaces = 3;
-/** Part of the allowed pause that the reading of a whole mean prompt may take:
- * the rest is the steps of the output and parts of a second prompt. */
+/**
+ * Share of the allowed pause that the prefill of a whole mean prompt may take.
+ * The rest is for the decode steps and chunks of a second prompt.
+ */
 constexpr double kMostOfPause = 0.6;
-/** A prompt must become so much shorter before engines read beside again. */
+/**
+ * Colocated prefill is allowed again once the prefill takes less than this
+ * fraction of `kMostOfPause`.
+ */
 constexpr double kAllowAgain = 0.4;
-/** About the last thirty prompts and the last ten paces. */
+/** Number of prompts and of throughput samples that the means cover. */
 constexpr int kPrompts = 30;
 constexpr int kPaces = 10;
-/** Streams seen before anything is concluded, and those remembered. */
+/**
+ * Number of streams that are needed for a decision, and that the mean covers.
+ */
 constexpr int kLeastStreams = 5;
 constexpr int kStreams = 12;
-/** Share of streams with a pause above which they are no accident: 0.1 to 0.2
- * at engines that bear it, 0.6 and more at those that do not. */
+/**
+ * Share of streams with a pause above which the pauses are not accidental. The
+ * share is 0.1 to 0.2 on engines that sustain colocated prefill, and 0.6 or
+ * more on those that do not.
+ */
 constexpr double kMostPaused = 0.45;
 
 } // namespace
--- a/packages/relay/src/Smoothing.h
+++ b/packages/relay/src/Smoothing.h
@@ -5,8 +5,9 @@
 namespace ridgeferry::relay {
 
 /**
- * The mean of about the last `aMemory` samples, each of the first ones with its
- * full part in it. `aCount`: samples so far, counted here up to `aMemory`.
+ * Returns the mean of about the last `aMemory` samples after adding `aSample`
+ * to `aMean`. The first `aMemory` samples all have the same weight. `aCount` is
+ * the number of samples so far; this function increments it up to `aMemory`.
  */
 inline double
 Blend(double aMean, double aSample, int& aCount, int aMemory)
--- a/packages/relay/src/TypicalPrompt.cpp
+++ b/packages/relay/src/TypicalPrompt.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/** Weight of the newest prompt once there were fifty. */
+/** Weight of the newest prompt after the first fifty. */
 constexpr double kLeastWeight = 0.02;
 
 } // namespace
