--- a/packages/relay/tests/CallKindTest.cpp
+++ b/packages/relay/tests/CallKindTest.cpp
@@ -21,7 +21,8 @@
   EXPECT_NEAR(static_cast<double>(typical.Value().m_ownTokens), 500, 10);
 }
 
-// One of a thousand does not make the others look small.
+// Guards against one large prompt making the other prompts of its kind count as
+// small.
 TEST(TypicalPromptTest, OneLargePromptHardlyMovesIt)
 {
   TypicalPrompt typical;
--- a/packages/relay/tests/FleetHerdTest.cpp
+++ b/packages/relay/tests/FleetHerdTest.cpp
@@ -1,8 +1,12 @@
-// Hundreds of instances that decide by the same knowledge, all of it some time
-// old: in a burst of calls each engine should get about the same. Engines,
-// slots and instances as in a deployment of five halls; an instance decides
-// some ten calls a second, and loads of others are a quarter of a second old,
-// so some 600 calls are placed by the same view.
+// Guards against herding: many instances decide from the same, slightly
+// outdated loads, and if all chose the engine that looks idle, it would be
+// overloaded at once. In a burst each engine should get about the same number
+// of calls.
+//
+// The numbers of engines, slots and instances are those of a deployment with
+// five data centres. There, an instance places some ten calls a second and
+// learns the loads of others a quarter of a second late, so some 600 calls are
+// placed on the same view.
 
 #include "FleetFixture.h"
 
@@ -15,13 +19,15 @@
 constexpr int kEngines = 100;
 constexpr int kCallsOfOneView = 600;
 
-/** A kind of call, and how many more the busiest engine may get than the mean
- * of those that may take it. */
+/**
+ * A kind of call, and by which factor the busiest engine may exceed the mean
+ * number of calls of the engines that were used.
+ */
 struct HerdCase
 {
   const char* m_name;
   Prompt m_prompt;
-  bool m_otherChains; ///< Each call has shared parts of its own.
+  bool m_otherChains; ///< Whether each call has a shared prefix of its own.
   double m_mostOverMean;
 };
 
@@ -38,7 +44,7 @@
       member.m_hall = "hall" + std::to_string(i % 5);
       m_fleet.Put(member);
     }
-    // One engine looks idle to all, the others are a little busy.
+    // Engine e0 looks idle to all instances; the others have a little load.
     for (int i = 1; i < kEngines; ++i) {
       m_loads.push_back(
         { Fleet::ShortHash("e" + std::to_string(i)), 1, 1000 + i % 7 });
--- a/packages/relay/tests/FleetReadersTest.cpp
+++ b/packages/relay/tests/FleetReadersTest.cpp
@@ -1,6 +1,7 @@
-// Placement where prompts are read apart. The load: a hundred shared parts of
-// 13,300 tokens, own parts of some thousands, at engines that read 60 tokens a
-// ms; short prompts of 1,500 tokens with a tighter aim beside them.
+// Tests placement with disaggregated prefill. The load has a hundred shared
+// prefixes of 13,300 tokens, each followed by some thousand tokens of the
+// prompt's own, on engines that prefill 60 tokens per ms. It also has short
+// prompts of 1,500 tokens with a tighter first-token target.
 
 #include "FleetFixture.h"
 
@@ -26,7 +27,7 @@
       Put(std::string(hall) + "g", hall, Part::Generate);
     }
     m_fleet.RecallApart({ Fleet::ShortHash("llm") });
-    // Paces are learned from a clean sample of each kind.
+    // Throughput is learned from one clean sample of each role.
     m_fleet.NotePace({ "ar0", 60'000, Duration{ 1015 }, true });
     m_fleet.NotePace({ "ag", 30'000, Duration{ 1015 }, true });
   }
@@ -39,7 +40,10 @@
     m_fleet.Put(member);
   }
 
-  /** A prompt whose shared part is `aPart`, with aims as in the load. */
+  /**
+   * Returns a request for a prompt with the shared prefix `aPart` and the time
+   * limits of the load above.
+   */
   static PlaceRequest Long(std::uint32_t aPart)
   {
     PlaceRequest out;
@@ -71,8 +75,9 @@
   {
     return MustFind(m_fleet, aRequest);
   }
-  /** So much work waits at all readers and at no generating engine that is
-   * idle. */
+  /**
+   * Queues `aWork` at every prefill engine and makes every decode engine busy.
+   */
   void LoadAll(std::int64_t aWork)
   {
     for (const char* hall : { "a", "b" }) {
@@ -83,7 +88,7 @@
     }
     Occupy();
   }
-  /** Some output runs at each generating engine. */
+  /** Starts a decoding call at each decode engine. */
   void Occupy()
   {
     m_fleet.NoteSent("ag", 0, kNow);
@@ -99,7 +104,8 @@
   for (std::uint32_t part = 1; part <= 50; ++part) {
     const Place place = Must(Long(part));
     ASSERT_FALSE(place.m_reader.empty());
-    EXPECT_EQ(place.m_reader[0], place.m_upstream[0]); // Their hall.
+    // The first letter of an id is the engine's data centre.
+    EXPECT_EQ(place.m_reader[0], place.m_upstream[0]);
   }
 }
 
@@ -113,7 +119,8 @@
     for (request.m_random = 0; request.m_random < 20; ++request.m_random) {
       readers.insert(Must(request).m_reader);
     }
-    EXPECT_EQ(readers.size(), 1U); // Instances agree without talking.
+    // Instances agree on the engine without communication.
+    EXPECT_EQ(readers.size(), 1U);
     used.insert(readers.begin(), readers.end());
   }
   EXPECT_EQ(used.size(), 6U);
@@ -134,7 +141,7 @@
 {
   Occupy();
   m_fleet.NoteKept({ 5, Fleet::ShortHash("ar1") }, kNow);
-  m_fleet.NoteSent("ar1", 12'000, kNow); // 200 ms.
+  m_fleet.NoteSent("ar1", 12'000, kNow); // Prefilling this takes 200 ms.
   const Place place = Must(Long(5));
   EXPECT_NE(place.m_reader, "ar1");
   EXPECT_EQ(place.m_fetchFrom, "ar1");
@@ -148,19 +155,23 @@
   m_fleet.NoteSent("ar1", 12'000, kNow);
   PlaceRequest request = Long(5);
   request.m_movedPerMs = 0;
-  request.m_shortestAim = Duration{ 2000 }; // So that it may queue there.
+  // The long target lets the prompt queue there.
+  request.m_shortestAim = Duration{ 2000 };
   const Place place = Must(request);
-  EXPECT_EQ(place.m_reader, "ar1"); // Reading it again takes 350 ms.
+  // Prefilling the prefix again elsewhere would take 350 ms.
+  EXPECT_EQ(place.m_reader, "ar1");
   EXPECT_TRUE(place.m_fetchFrom.empty());
 }
 
-/** How much work waits at each reader, and what becomes of a prompt. */
+/**
+ * The work that is queued at each prefill engine, and what happens to a prompt.
+ */
 struct QueueCase
 {
   const char* m_name;
   std::int64_t m_work;
   bool m_short;
-  Duration m_left; ///< Until its caller gives it up.
+  Duration m_left; ///< Time until the caller gives up.
   const char* m_outcome;
 };
 
@@ -181,7 +192,8 @@
 TEST_P(QueueTest, ShortPromptsGoFirstAndLateOnesWaitForRoom)
 {
   LoadAll(GetParam().m_work);
-  // Nothing short may go where output runs: readers only.
+  // Keeps the decode engines too busy for a short prompt, so that only prefill
+  // engines remain.
   m_fleet.NoteSent("ag", 4'000, kNow);
   m_fleet.NoteSent("bg", 4'000, kNow);
   PlaceRequest request = GetParam().m_short ? Short() : Long(5);
@@ -209,7 +221,8 @@
 {
   Occupy();
   PlaceRequest request = Long(5);
-  request.m_patience = Duration{ -500 }; // Its caller has come back.
+  // The caller is retrying, and its target has passed already.
+  request.m_patience = Duration{ -500 };
   const Place place = Must(request);
   EXPECT_TRUE(place.m_late);
 }
@@ -232,7 +245,8 @@
 {
   LoadAll(6'000);
   const Place first = Must(Short());
-  EXPECT_TRUE(first.m_reader.empty()); // 50 ms of the 200 that are allowed.
+  // Its prefill takes 50 ms, and pauses of 200 ms are allowed.
+  EXPECT_TRUE(first.m_reader.empty());
   m_fleet.NoteSent("ag", 1'500, kNow);
   m_fleet.NoteSent("bg", 1'500, kNow);
   EXPECT_FALSE(Must(Short()).m_reader.empty());
@@ -247,7 +261,7 @@
   const PlaceResult result = idle.FindPlace(Long(5), kNow);
   const auto* place = std::get_if<Place>(&result);
   ASSERT_NE(place, nullptr);
-  EXPECT_EQ(place->m_upstream, "ag"); // Nobody's output waits there.
+  EXPECT_EQ(place->m_upstream, "ag"); // No output is delayed there.
   EXPECT_TRUE(place->m_reader.empty());
 }
 
@@ -259,7 +273,8 @@
   Occupy();
   for (std::uint32_t part = 1; part <= 40; ++part) {
     const Place place = Must(Long(part));
-    EXPECT_NE(place.m_reader, "ar0"); // It takes nothing between two parts.
+    // This engine is changing roles and accepts no calls.
+    EXPECT_NE(place.m_reader, "ar0");
     EXPECT_NE(place.m_reader, "ar1");
   }
   m_fleet.SetNews("peer", {});
@@ -279,7 +294,8 @@
   fleet.SetApart("two", { Fleet::ShortHash("llm") });
   EXPECT_FALSE(fleet.ReadsBeside("llm"));
   EXPECT_TRUE(fleet.ReadsBeside("desk"));
-  EXPECT_TRUE(fleet.OwnApart().empty()); // Only what it has found itself.
+  // `OwnApart` contains only what this instance has found itself.
+  EXPECT_TRUE(fleet.OwnApart().empty());
   fleet.SetApart("two", {});
   EXPECT_TRUE(fleet.ReadsBeside("llm"));
 }
@@ -312,7 +328,7 @@
 
 TEST_F(FleetReadersTest, APlaceIsAReaderAndATakerThatAreSound)
 {
-  EXPECT_TRUE(rc::check("any load", [this] {
+  EXPECT_TRUE(rc::check("any load of the engines", [this] {
     Fleet fleet = m_fleet;
     for (const char* id : { "ar0", "ar1", "ar2", "br0", "ag", "bg" }) {
       fleet.NoteSent(id, *rc::gen::inRange<std::int64_t>(0, 90'000), kNow);
--- a/packages/relay/tests/FleetSilenceTest.cpp
+++ b/packages/relay/tests/FleetSilenceTest.cpp
@@ -1,17 +1,18 @@
-// Members that were sent something and say nothing.
+// Tests how members are treated that leave calls unanswered.
 
 #include "FleetFixture.h"
 
 namespace ridgeferry::relay {
 namespace {
 
-/** What was seen of a member that was sent something, until a later choice. */
+/** What happened between a call to member `a` and a later placement. */
 struct SilenceCase
 {
   const char* m_name;
-  Duration m_since;     ///< From the send to the choice.
-  bool m_heard;         ///< Some bytes came from it meanwhile.
-  bool m_otherIsSilent; ///< The other member is in the same case.
+  Duration m_since; ///< Time from the call to the placement.
+  bool m_heard;     ///< Whether `a` has sent bytes in the meantime.
+  /** Whether member `b` leaves its calls unanswered too. */
+  bool m_otherIsSilent;
   bool m_mayBeChosen;
 };
 
@@ -29,7 +30,7 @@
   if (GetParam().m_otherIsSilent) {
     m_fleet.NoteSent("b", 0, kNow);
   }
-  // So many calls at the other one that `a` is the better place.
+  // Member `b` has so many calls that `a` is the better place.
   for (int i = 0; i < 5; ++i) {
     m_fleet.NoteSent("b", 0, kNow);
     if (!GetParam().m_otherIsSilent) {
@@ -53,7 +54,7 @@
     SilenceCase{ "BothSilent", Fleet::kSilence, false, true, true }),
   [](const auto& aInfo) { return aInfo.param.m_name; });
 
-/** How an attempt ended that its member had not said a word to. */
+/** How an attempt ended whose member never sent any bytes. */
 class FleetSilentEndTest
   : public FleetTest
   , public ::testing::WithParamInterface<AttemptEnd>
@@ -75,7 +76,7 @@
 
 TEST_P(FleetSilentEndTest, RestsAtOnceAndIsThenAskedByOneCall)
 {
-  // So many calls at the other one that `a` is the better place.
+  // Member `b` has so many calls that `a` is the better place.
   for (int i = 0; i < 5; ++i) {
     m_fleet.NoteSent("b", 0, kNow);
     m_fleet.NoteHeard("b");
@@ -83,7 +84,8 @@
   m_fleet.NoteSent("a", 0, kNow);
   const Instant later = kNow + Fleet::kSilence;
   m_fleet.NoteEnded("a", 0, GetParam(), Fleet::kSilence, later);
-  EXPECT_FALSE(m_fleet.IsSilent("a", later)); // Nothing is awaited from it.
+  // No call to `a` is unanswered any more.
+  EXPECT_FALSE(m_fleet.IsSilent("a", later));
   EXPECT_FALSE(IsChosen(later));
   const Instant rested = later + Fleet::kRest;
   EXPECT_TRUE(IsChosen(rested));
@@ -93,7 +95,8 @@
   m_fleet.NoteHeard("a");
   m_fleet.NoteEnded("a", 0, AttemptEnd::Served, Duration{ 5 }, rested);
   m_fleet.NoteSent("a", 0, rested);
-  EXPECT_TRUE(IsChosen(rested)); // Not one call at a time any more.
+  // The probation has ended, so `a` gets more than one call at a time.
+  EXPECT_TRUE(IsChosen(rested));
   EXPECT_FALSE(m_fleet.NeedsOwnConnection("a", rested));
 }
 
@@ -114,7 +117,9 @@
   }
 }
 
-// One that only reads says nothing before it has read all that waits there.
+// An engine in the prefill role sends nothing before it has processed
+// everything queued there. Guards against treating it as unresponsive
+// meanwhile.
 TEST_F(FleetTest, AnEngineMayBeSilentWhileItReads)
 {
   constexpr Duration kReading{ 800 };
@@ -126,7 +131,8 @@
   EXPECT_TRUE(m_fleet.IsSilent("p1", kNow + Fleet::kSilence));
 }
 
-// Those behind a cut must not cost each caller of this side a try.
+// Members behind a network partition must not cost every caller on this side a
+// failed attempt, so the ejection time doubles.
 TEST_F(FleetTest, RestsDoubleUntilTheMemberIsHeard)
 {
   Instant now = kNow;
@@ -152,12 +158,12 @@
   EXPECT_EQ(restOf(), Fleet::kRest);
 }
 
-// An engine between two parts refuses at once, looks idle and would be given
-// everything.
+// An engine that is changing roles refuses calls at once. Guards against
+// sending it all calls because it looks idle.
 TEST_F(FleetTest, AMemberThatRefusesInARowRests)
 {
   for (int i = 0; i < 5; ++i) {
-    m_fleet.NoteSent("b", 0, kNow); // `a` is the better place.
+    m_fleet.NoteSent("b", 0, kNow); // Member `a` is the better place.
   }
   const auto refuse = [&] {
     m_fleet.NoteSent("a", 0, kNow);
--- a/packages/relay/tests/FleetSizeTest.cpp
+++ b/packages/relay/tests/FleetSizeTest.cpp
@@ -1,8 +1,11 @@
-// Whether a prompt is let in hangs on what waits, not on how large it is. Seen:
-// prompts of 4,000 to 24,000 tokens behind queues of some 95 ms, held with
-// their own reading against one bound; of the largest tenth 0.16 of the tries
-// passed, of the smallest 0.84. The loads here are of that kind: engines that
-// read 60 to 400 tokens a ms, aims of 150 to 700 ms.
+// Guards against shutting out large prompts: admission must depend on the
+// queue, not on the prompt's own size. When prompts of 4,000 to 24,000 tokens
+// had their own prefill counted against the bound as well, behind queues of
+// some 95 ms, 0.16 of the attempts passed for the largest tenth and 0.84 for
+// the smallest.
+//
+// The loads here are similar: engines prefill 60 to 400 tokens per ms, and
+// first-token targets are 150 to 700 ms.
 
 #include "FleetFixture.h"
 
@@ -79,7 +82,7 @@
 
 TEST_P(FleetSizeTest, OneQueueLetsAllSizesOfAKindInOrNone)
 {
-  EXPECT_TRUE(rc::check("any queue", [&] {
+  EXPECT_TRUE(rc::check("any queue at the engines", [&] {
     Fleet fleet = m_fleet;
     const int pace = *rc::gen::inRange(60, 400);
     for (int i = 0; i < 9; ++i) {
@@ -96,7 +99,8 @@
   }));
 }
 
-// Behind the queue that shut large prompts out: 110 ms where a small one waits.
+// Uses the queue that shut out large prompts: a small prompt waits 110 ms
+// there.
 TEST_P(FleetSizeTest, ALargePromptWaitsAsATypicalOneDoes)
 {
   LoadAll(m_fleet, 4000);
@@ -112,7 +116,7 @@
   const PlaceResult result = m_fleet.FindPlace(request, kNow);
   ASSERT_NE(CauseOf(result), nullptr);
   EXPECT_EQ(*CauseOf(result), NoPlaceCause::TooLarge);
-  // What was begun elsewhere is gone on with.
+  // A call that another upstream has begun already is continued in any case.
   request.m_patience = Duration::max();
   EXPECT_TRUE(HasPlace(m_fleet, request));
 }
--- a/packages/relay/tests/FleetTakerTest.cpp
+++ b/packages/relay/tests/FleetTakerTest.cpp
@@ -1,7 +1,9 @@
-// Who gives the output of a prompt that was read elsewhere. Seen: in a peak the
-// first events of such outputs came after 6 ms where nothing was read, and
-// after 60 ms (170 ms for one of ten) at engines that read prompts beside the
-// output; those of halls without an engine that reads none got twice as many.
+// Guards against choosing a decode engine that is busy with prefill. In a load
+// peak, the first events of such outputs took 6 ms on engines that were not
+// prefilling, and 60 ms (170 ms for one in ten) on engines with colocated
+// prefill, and engines of data centres where every decode engine prefilled got
+// twice as many outputs. The output must go to an engine without prefill, also
+// in another data centre.
 
 #include "FleetFixture.h"
 
@@ -10,7 +12,7 @@
 namespace ridgeferry::relay {
 namespace {
 
-/** Two halls with two readers and three generating engines each. */
+/** Two data centres with two prefill engines and three decode engines each. */
 class FleetTakerTest : public ::testing::Test
 {
 protected:
@@ -34,7 +36,10 @@
     m_fleet.Put(member);
   }
 
-  /** By engine, of prompts that are read by the readers. */
+  /**
+   * Returns the number of calls by decode engine, for prompts that a prefill
+   * engine processes.
+   */
   std::map<std::string, int> TakersOf(int aCalls)
   {
     std::map<std::string, int> out;
--- a/packages/relay/tests/FleetTest.cpp
+++ b/packages/relay/tests/FleetTest.cpp
@@ -28,7 +28,8 @@
   }
 }
 
-// Another instance has read the list further than this one.
+// Another instance has read a newer state of the list and announced that the
+// member is leaving; this instance still reads the older row.
 TEST_F(FleetTest, AnOlderRowDoesNotTakeLeavingBack)
 {
   m_fleet.MarkLeaving({ "a" });
@@ -58,7 +59,8 @@
   const auto* fault = std::get_if<PlaceFault>(&full);
   ASSERT_NE(fault, nullptr);
   EXPECT_EQ(fault->m_cause,
-            NoPlaceCause::Full); // There will be room: not one without members.
+            // A place will become free, unlike without any members.
+            NoPlaceCause::Full);
   EXPECT_GT(fault->m_roomIn.count(), 0);
   m_fleet.NoteEnded("a", 0, AttemptEnd::Served, Duration{ 5 }, kNow);
   EXPECT_EQ(MustFind(m_fleet, request).m_upstream, "a");
@@ -93,7 +95,8 @@
 {
   Fail(m_fleet, "a", Fleet::kFailuresToRest);
   for (int i = 0; i < 20; ++i) {
-    m_fleet.NoteSent("b", 0, kNow); // However loaded the other one is.
+    // However loaded `b` is, `a` stays ejected.
+    m_fleet.NoteSent("b", 0, kNow);
   }
   EXPECT_EQ(MustFind(m_fleet, PlainRequest()).m_upstream, "b");
 }
@@ -107,8 +110,9 @@
   EXPECT_EQ(m_fleet.Find("b"), nullptr);
 }
 
-// Ticks come some time after the end of a grace; a leaving upstream may get new
-// work for two seconds only.
+// `Tick` runs some time after a grace period has ended, and a leaving upstream
+// may get new calls for two seconds only. The member must therefore get no
+// calls from the end of the grace period on, even before `Tick` removes it.
 TEST_F(FleetTest, ALapsedMemberGetsNothingFromItsGracesEndOn)
 {
   const std::vector<std::string> excluded{ "a" };
@@ -122,8 +126,8 @@
     std::holds_alternative<Place>(m_fleet.FindPlace(request, kNow + kGrace)));
 }
 
-// Instances of its hall have said that its rows cannot have lapsed; a bound
-// ends a grace, and never makes or lengthens one.
+// Instances of a data centre report that its rows cannot have expired. Such a
+// bound shortens a grace period, and must never start or lengthen one.
 TEST_F(FleetTest, AGraceIsBoundedForTheMembersOfOneHall)
 {
   const std::string hall = m_fleet.Find("b")->m_hall;
@@ -152,7 +156,8 @@
   EXPECT_NE(m_fleet.Find("b"), nullptr);
 }
 
-// Its own word that it leaves is no lapse of the list.
+// A member that announced that it is leaving was not removed because its row
+// expired, so it gets no grace period.
 TEST_F(FleetTest, ALeavingMemberHasNoGrace)
 {
   Member leaving = MakeMember("b", "desk");
@@ -181,7 +186,7 @@
     EXPECT_EQ(home(mine), home(theirs));
     used.insert(home(mine));
   }
-  EXPECT_GE(used.size(), 8U); // Spread over the fleet.
+  EXPECT_GE(used.size(), 8U); // The prefixes are spread over the engines.
 }
 
 std::string
@@ -190,7 +195,10 @@
   return aPlace.m_reader.empty() ? aPlace.m_upstream : aPlace.m_reader;
 }
 
-/** What waits at a prompt's home, and whether it is read there all the same. */
+/**
+ * The work queued at a prompt's affinity target, and whether the prompt is
+ * prefilled there all the same.
+ */
 struct HomeCase
 {
   const char* m_name;
@@ -222,7 +230,8 @@
                     HomeCase{ "AQueue", 60'000, false }),
   [](const auto& aInfo) { return std::string(aInfo.param.m_name); });
 
-// Several instances that see the same loads must not all choose alike.
+// Guards against herding: instances that see the same loads must not all choose
+// the same engine.
 TEST_F(FleetTest, PromptsWhoseHomeIsBusySpreadOverOthers)
 {
   const std::string home = ReaderOf(MustFind(m_fleet, LongRequest(3)));
@@ -235,8 +244,9 @@
   EXPECT_GE(used.size(), 4U);
 }
 
-// Calls come and go by the second; a chain that moved with them would be read
-// again each time.
+// The number of running calls changes within seconds. If the affinity target of
+// a prefix changed with it, the prefix would have to be prefilled anew each
+// time.
 TEST_F(FleetTest, HomesStayWhenMoreEnginesAreKeptQuiet)
 {
   std::map<std::uint64_t, std::string> before;
@@ -253,12 +263,16 @@
   }
 }
 
-/** What first tokens took, when 50 ms were expected, before a prompt comes. */
+/**
+ * Measured first-token times before a prompt is placed, where 50 ms were
+ * expected.
+ */
 struct LateCase
 {
   const char* m_name;
-  std::vector<int> m_tookMs; ///< One every 100 ms.
-  bool m_refused;            ///< A prompt with patience for 100 ms.
+  std::vector<int> m_tookMs; ///< One measurement every 100 ms.
+  /** Whether a prompt with an admission bound of 100 ms is refused. */
+  bool m_refused;
 };
 
 class LateTest
@@ -336,7 +350,7 @@
 
 TEST_F(FleetTest, AReaderIsNeverAskedToGenerate)
 {
-  EXPECT_TRUE(rc::check("any load", [] {
+  EXPECT_TRUE(rc::check("any load of the two engines", [] {
     Fleet fleet;
     fleet.Put(MakeMember("g", "llm", Part::Generate));
     fleet.Put(MakeMember("p", "llm", Part::Prefill));
@@ -352,8 +366,10 @@
   }));
 }
 
-/** What is said of one id after its life born at 1,000 had said that it leaves,
- * and whether it then takes calls. */
+/**
+ * A row for an id whose incarnation with start time 1,000 had announced that it
+ * is leaving, and whether the member gets calls afterwards.
+ */
 struct LifeCase
 {
   const char* m_name;
@@ -399,7 +415,7 @@
     LifeCase{ "NotSaid", {}, false, LifeOrder::Same, false }),
   [](const auto& aInfo) { return std::string(aInfo.param.m_name); });
 
-// Calls and failures of the earlier life say nothing of the later one.
+// Calls and failures of an earlier incarnation must not affect the later one.
 TEST_F(FleetTest, ALaterLifeHasNoneOfWhatWasFoundOfTheEarlierOne)
 {
   Member member = MakeMember("c", "alone");
@@ -427,8 +443,9 @@
   EXPECT_TRUE(m_fleet.Find("c")->m_leaving);
 }
 
-// Rows, removals and peers' words of four lives in any order: what is held is
-// always the latest life that was told, and only its own leaving counts.
+// Applies rows, removals and leaving announcements of four incarnations in any
+// order. The member must always be the latest incarnation that was seen, and
+// only that one's own announcement counts.
 TEST(FleetLifeWorldTest, TheLatestLifeIsHeldInAnyOrderOfWords)
 {
   EXPECT_TRUE(rc::check("lives", [] {
--- a/packages/relay/tests/HallLoadsTest.cpp
+++ b/packages/relay/tests/HallLoadsTest.cpp
@@ -10,8 +10,8 @@
 {
   const char* m_name;
   std::vector<OtherLoad> m_own;
-  std::vector<OtherLoad> m_first;  ///< Of a peer.
-  std::vector<OtherLoad> m_second; ///< Of another.
+  std::vector<OtherLoad> m_first;  ///< Loads of one peer.
+  std::vector<OtherLoad> m_second; ///< Loads of another peer.
   std::size_t m_most;
   std::vector<OtherLoad> m_sum;
 };
@@ -24,7 +24,8 @@
   HallLoads loads;
   loads.Set("first", GetParam().m_first);
   loads.Set("second", { { 9, 9, 9 } });
-  loads.Set("second", GetParam().m_second); // Replaces what it said before.
+  // Replaces the loads reported before.
+  loads.Set("second", GetParam().m_second);
   EXPECT_EQ(loads.Sum(GetParam().m_own, GetParam().m_most), GetParam().m_sum);
 }
 
--- a/packages/relay/tests/KeptPartsTest.cpp
+++ b/packages/relay/tests/KeptPartsTest.cpp
@@ -7,7 +7,7 @@
 
 constexpr Instant kNow{ Duration{ 100'000 } };
 
-/** A part used once at an engine, asked for later. */
+/** A lookup in an index that has one entry: segment 7 at engine 70. */
 struct KeptCase
 {
   const char* m_name;
--- a/packages/relay/tests/PartDeskTest.cpp
+++ b/packages/relay/tests/PartDeskTest.cpp
@@ -34,7 +34,10 @@
   {
     return m_desk.Handle(OrderAnswered{ aEngine, aAnswer }, m_now);
   }
-  /** To the order; the engine has taken four before. */
+  /**
+   * Takes a change up to the order, for an engine that has accepted four orders
+   * before.
+   */
   std::vector<DeskAction> Order(const std::string& aEngine)
   {
     Want(aEngine);
@@ -97,12 +100,14 @@
   EXPECT_TRUE(m_desk.News().empty());
 }
 
-// It may be carried out late: then the second one finds another count.
+// The first order may arrive late, after the second one; it then names an
+// outdated count and is ignored.
 TEST_F(PartDeskTest, ALostOrderIsMadeAgainWithTheSameCount)
 {
   Order("e");
   Answer("e", OrderAnswer::Lost);
-  EXPECT_TRUE(m_desk.News().empty()); // It serves on as the list says.
+  // The engine keeps the role that the list shows.
+  EXPECT_TRUE(m_desk.News().empty());
   EXPECT_EQ(m_desk.TargetOf("e"), Part::Prefill);
   m_now += PartDesk::kOrderAgain;
   Tick();
@@ -142,7 +147,7 @@
   Want("e");
   m_now += PartDesk::kAnnounce;
   Tick();
-  Tick(false); // Lost while the engine was asked.
+  Tick(false); // The right to order was lost while the engine was asked.
   EXPECT_EQ(Find<SendPartOrder>(Report("e", Part::Generate, false, 4)),
             nullptr);
 }
@@ -173,7 +178,8 @@
   EXPECT_TRUE(m_desk.News().empty());
 }
 
-// A whole hall at once must not keep its orderer from all other work.
+// Guards against changing the roles of a whole data centre at once, which would
+// keep the ordering instance from all its other work.
 TEST_F(PartDeskTest, FewAreAskedAtATimeAndAllInTurn)
 {
   constexpr int kEngines = 60;
@@ -182,7 +188,8 @@
   for (int i = 0; i < kEngines; ++i) {
     wanted.m_changes.push_back({ "e" + std::to_string(i), Part::Prefill });
   }
-  EXPECT_EQ(m_desk.Handle(wanted, m_now).size(), 1U); // News, once.
+  // There is one announcement for all changes.
+  EXPECT_EQ(m_desk.Handle(wanted, m_now).size(), 1U);
   m_now += PartDesk::kAnnounce;
   std::set<std::string> asked;
   for (int tick = 0; tick < kEngines; ++tick) {
@@ -201,12 +208,12 @@
 }
 
 /**
- * One engine under a desk, with answers lost and orders carried out late: its
- * parts change only by orders that name its count.
+ * Simulates an engine whose answers get lost and whose orders arrive late. It
+ * carries out an order only if the order names its current count.
  */
 TEST_F(PartDeskTest, WhateverIsLostTheEngineFollowsEachOrderOnceAtMost)
 {
-  EXPECT_TRUE(rc::check("lost and late", [] {
+  EXPECT_TRUE(rc::check("answers get lost and orders arrive late", [] {
     PartDesk desk;
     Instant now = kNow;
     Part part = Part::Generate;
@@ -265,8 +272,9 @@
   }));
 }
 
-// The engine started again while its order had no answer: its counts begin
-// anew, and that it does what was wanted is no sign of the order.
+// The engine restarts while its order is unanswered, so its count starts from
+// zero. Guards against taking its role as a sign that the order was carried
+// out.
 TEST_F(PartDeskTest, AnOrderToAnEarlierLifeIsNotCountedForALaterOne)
 {
   const auto report = [&](std::int64_t aBorn, std::int64_t aOrders) {
@@ -284,7 +292,8 @@
   EXPECT_NE(Find<TellNews>(report(2000, 0)), nullptr);
   EXPECT_EQ(m_desk.TargetOf("e"), std::nullopt);
   EXPECT_TRUE(m_desk.News().empty());
-  // Nothing is sent to the later life until it is wanted anew, with its count.
+  // The later incarnation gets no order until a change is requested anew, and
+  // then the order names its own count.
   m_now += PartDesk::kOrderAgain;
   EXPECT_EQ(Find<AskReport>(Tick()), nullptr);
   Want("e");
--- a/packages/relay/tests/PartPlanTest.cpp
+++ b/packages/relay/tests/PartPlanTest.cpp
@@ -8,7 +8,10 @@
 
 constexpr Instant kNow{ Duration{ 10'000 } };
 
-/** `aReading` readers and `aGenerating` others in a hall, in this order. */
+/**
+ * Adds `aReading` prefill engines, then `aGenerating` decode engines, of data
+ * centre `aHall`.
+ */
 void
 AddHall(std::vector<PlannedEngine>& aEngines,
         const std::string& aHall,
@@ -34,13 +37,16 @@
     });
 }
 
-/** One hall of engines beside two others of six with a third that generate. */
+/**
+ * A data centre next to two others with four prefill engines and two decode
+ * engines each.
+ */
 struct PlanCase
 {
   const char* m_name;
   int m_reading;
   int m_generating;
-  double m_needed; ///< Of all halls.
+  double m_needed; ///< Decode engines needed in all data centres.
   Duration m_lasts;
   std::ptrdiff_t m_toRead;
   std::ptrdiff_t m_toGenerate;
@@ -79,7 +85,8 @@
 TEST(PartPlannerTest, TheLeastBusyChangeAndThoseOnTheirWayDoNot)
 {
   std::vector<PlannedEngine> engines;
-  AddHall(engines, "a", 2, 4); // a2 to a5 generate, a2 with the fewest calls.
+  // Engines a2 to a5 decode; a2 has the fewest calls.
+  AddHall(engines, "a", 2, 4);
   engines[2].m_changes = true;
   PartPlanner planner;
   EXPECT_EQ(planner.Plan(engines, 1, kNow),
@@ -101,7 +108,7 @@
 
 TEST(PartPlannerTest, NoHallLosesItsLastOfEitherKind)
 {
-  EXPECT_TRUE(rc::check("any fleet and need", [] {
+  EXPECT_TRUE(rc::check("any fleet and any need for decode engines", [] {
     std::vector<PlannedEngine> engines;
     const int halls = *rc::gen::inRange(1, 4);
     for (int hall = 0; hall < halls; ++hall) {
--- a/packages/relay/tests/ReadingBesideTest.cpp
+++ b/packages/relay/tests/ReadingBesideTest.cpp
@@ -4,15 +4,17 @@
 namespace ridgeferry::relay {
 namespace {
 
-/** What was seen of a service, and whether its engines bear reading beside. */
+/**
+ * What was measured for a service, and whether colocated prefill is allowed.
+ */
 struct BesideCase
 {
   const char* m_name;
-  double m_work;     ///< Of a mean prompt, whole.
-  double m_pace;     ///< Work a ms, at engines that generate.
-  int m_paces;       ///< Samples.
-  int m_pausedOfTen; ///< Streams with a long pause.
-  int m_streams;     ///< Seen.
+  double m_work;     ///< Work to prefill a mean prompt without cached prefix.
+  double m_pace;     ///< Work per ms that decode engines prefill.
+  int m_paces;       ///< Number of throughput samples.
+  int m_pausedOfTen; ///< How many of ten streams have a long pause.
+  int m_streams;     ///< Number of streams.
   bool m_allowed;
 };
 
