--- a/packages/relay/include/ridgeferry/relay/Fleet.h
+++ b/packages/relay/include/ridgeferry/relay/Fleet.h
@@ -249,7 +249,8 @@
   /**
    * Returns whether prompts may be prefilled on engines that decode (colocated
    * prefill). False if this instance has found that the engines cannot sustain
-   * it, if enough other instances have, or if that was restored from the store.
+   * it, if enough other instances have, or if it was found before this process
+   * started.
    */
   bool ReadsBeside(std::string_view aService) const;
   /**
@@ -364,7 +365,8 @@
     double m_failShare = 0; ///< Smoothed share of attempts that failed.
     int m_failuresInRow = 0;
     int m_declinesInRow = 0;
-    Duration m_rest = kRest; ///< Duration of the next ejection.
+    /** Duration of the next ejection. */
+    Duration m_rest = kRest;
     std::optional<Instant> m_restsUntil;
     /**
      * When the member was sent the oldest call since it last sent any byte;
