--- a/packages/relay/include/ridgeferry/relay/GoneUpstreams.h
+++ b/packages/relay/include/ridgeferry/relay/GoneUpstreams.h
@@ -11,31 +11,46 @@
 namespace ridgeferry::relay {
 
 /**
- * Upstreams that have gone from the list, so that none comes back by an old row
- * alone: a store that came back from a copy lists again who went after the copy
- * was made. Such a row is held back until the store tells of it by a change, or
- * until it has stood for so long that somebody must be renewing it. An upstream
- * that left gets so nothing more, and one that was taken for gone wrongly is
- * used again after `kHold`. Decisions only; not thread-safe.
+ * Upstreams that were removed from the list, so that none of them returns
+ * because of an outdated row alone. A store that was restored from an older
+ * copy lists again the upstreams that left after the copy was made. Such a row
+ * is held back until the store reports a change of it, or until it has existed
+ * for so long that its upstream must be renewing it. An upstream that left gets
+ * no more calls, and one that was wrongly taken as removed is used again after
+ * `kHold`. Decides only, without I/O; not thread-safe.
  */
 class GoneUpstreams
 {
 public:
-  /** How long a row is held back: three missed renewals, 3.6 s at least, after
-   * which the store drops a row that nobody renews, and the two seconds behind
-   * its return within which all rows are written again. */
+  /**
+   * How long a row is held back. This covers the time of three missed renewals
+   * (at least 3.6 s), after which the store drops a row that is not renewed,
+   * and the two seconds after the store's return within which all rows are
+   * written again.
+   */
   static constexpr Duration kHold{ 6000 };
-  /** How long one that has gone is remembered: some times the age of the oldest
-   * copy that a store comes back from, which is some seconds. */
+  /**
+   * How long a removed upstream is remembered. This is several times the age of
+   * the oldest copy that a store is restored from, which is some seconds.
+   */
   static constexpr Duration kRemember{ 60'000 };
 
-  /** Its row was removed. */
+  /** Records that the upstream's row was removed. */
   void NoteGone(const UpstreamLife& aUpstream, Instant aNow);
-  /** The store tells of it by a change, whatever that says. */
+  /**
+   * Records that the store reported a change of the row, whatever the change
+   * is. The upstream is then no longer held back.
+   */
   void NoteChange(std::string_view aId);
-  /** Its row stands in a copy. Returns whether it is held back. */
+  /**
+   * Decides on a row that a restored copy of the store contains. Returns
+   * whether the row is held back.
+   */
   bool HoldBack(const Member& aMember, Instant aNow);
-  /** Those whose hold is over: their rows count from now on. */
+  /**
+   * Returns the upstreams whose hold time is over. Their rows are valid from
+   * now on.
+   */
   std::vector<Member> Tick(Instant aNow);
 
   std::size_t Held() const { return m_held.size(); }
@@ -52,8 +67,10 @@
     Instant m_until;
   };
 
-  std::map<std::string, Gone, std::less<>> m_gone; ///< By id.
-  std::map<std::string, Hold, std::less<>> m_held; ///< By id.
+  std::map<std::string, Gone, std::less<>>
+    m_gone; ///< Removed upstreams, by id.
+  std::map<std::string, Hold, std::less<>>
+    m_held; ///< Rows that are held back, by id.
 };
 
 } // namespace ridgeferry::relay
--- a/packages/relay/include/ridgeferry/relay/LapseGrace.h
+++ b/packages/relay/include/ridgeferry/relay/LapseGrace.h
@@ -6,85 +6,117 @@
 namespace ridgeferry::relay {
 
 /**
- * Whether a row that was removed from the list of upstreams may only have
- * lapsed there, and for how long its upstream stays in use.
+ * Decides whether a row that was removed from the list of upstreams may only
+ * have expired there, and for how long its upstream stays in use.
  *
- * Rows lapse while the store is away for all, as their owners cannot renew
- * them: without a grace, an outage of some seconds would empty the list of
- * sound upstreams. Without a bound to it, one that has left would get calls for
- * seconds. So an outage counts only if no other instance was heard to read on
- * through all of it: one that the store alone turned away grants none. One that
- * was cut off with its hall heard nobody: the rows of that hall's upstreams did
- * lapse, those of other halls did not, as their instances say (`Bounded`).
+ * Rows expire while the store is unreachable for all, because their owners
+ * cannot renew them. Without a grace period, an outage of some seconds would
+ * empty the list of sound upstreams. Without a limit to that period, an
+ * upstream that has left would get calls for seconds. So an outage counts only
+ * if no other instance was heard reading successfully all the way through it:
+ * an instance that the store rejects alone gets no grace period. An instance
+ * that was cut off together with its data centre heard from no other instance.
+ * In that case the rows of upstreams in that data centre did expire, but those
+ * of other data centres did not, as the instances there report (`Bounded`).
  *
- * Decisions only; not thread-safe.
+ * Decides only, without I/O; not thread-safe.
  */
 class LapseGrace
 {
 public:
   /**
-   * How long after the first answer behind an outage a removed row may only
-   * have lapsed. Rows of sound upstreams are back two seconds after the store's
-   * own return; a follower notices the return up to 0.8 s late. So all graces
-   * have ended three seconds after it, when what is gone binds again.
+   * For how long after the first answer that follows an outage a removed row
+   * may only have expired. The rows of sound upstreams are back two seconds
+   * after the store's return, and a follower notices the return up to 0.8 s
+   * late. All grace periods have therefore ended three seconds after the
+   * return; from then on, removals are final again.
    */
   static constexpr Duration kLapseTime{ 2100 };
-  /** The same after the last word of a peer's outage, which comes up to a
-   * second after that peer's first answer. */
+  /**
+   * For how long a removed row may only have expired after the last message in
+   * which a peer reports an outage. That message arrives up to a second after
+   * the peer's first answer.
+   */
   static constexpr Duration kPeerLapseTime{ 1400 };
-  /** Age of the last answer up to which reads count as going on: a read that
-   * the store holds is answered after two seconds. */
+  /**
+   * Reads count as continuing up to this age of the last answer. The store
+   * answers a read that it holds open after two seconds.
+   */
   static constexpr Duration kAnswerAge{ 2200 };
   /**
-   * For how long a peer's word of its steady reads holds. With the age of the
-   * answer behind it that is 3.2 s: rows lapse after three missed renewals,
-   * 3.6 s at least, so no row can have lapsed since that answer.
+   * For how long a peer's report of steady reads is valid. Together with the
+   * age of the answer that the report is based on, this is 3.2 s. Rows expire
+   * after three missed renewals, at least 3.6 s, so no row can have expired
+   * since that answer.
    */
   static constexpr Duration kSteadyFor{ 1000 };
 
   void NoteFailure(Instant aNow);
-  /** True: it is the first one behind an outage. */
+  /**
+   * Records an answer of the store. Returns true if it is the first one after
+   * an outage.
+   */
   bool NoteAnswer(Instant aNow);
   /**
-   * The store came back from an older copy, which lacks the rows of upstreams
-   * that were listed since it was made, until they write them again: for that
-   * time a missing row may only have lapsed, whoever read the store before.
+   * Records that the store was restored from an older copy. The copy lacks the
+   * rows of upstreams that were listed after it was made, until these write
+   * their rows again. For that time a missing row may only have expired,
+   * whichever instances have read the store before.
    */
   void NoteCopy(Instant aNow);
-  /** A peer's reads fail, and nobody's are heard to succeed. */
+  /**
+   * Records that a peer's reads fail and that no instance is known whose reads
+   * succeed.
+   */
   void NotePeerLost(Instant aNow);
-  /** A peer says that its reads are steady: see `IsSteady`. */
+  /** Records that a peer reports steady reads. See `IsSteady`. */
   void NotePeerSteady(Instant aNow);
 
-  /** Own reads fail. */
+  /** Returns whether this instance's own reads fail. */
   bool IsLost() const { return m_lost; }
-  /** Own reads have gone on for `kLapseTime` without a failure: whatever lapsed
-   * before is back or gone. For the peers. */
+  /**
+   * Returns whether this instance's reads have continued for `kGracePeriod`
+   * without a failure. Every row that had expired before is then back or gone
+   * for good. Reported to the peers.
+   */
   bool IsSteady(Instant aNow) const;
-  /** Until when a row whose removal is read now may only have lapsed; nothing:
-   * it is gone. */
+  /**
+   * Returns until when a row whose removal is read now may only have expired,
+   * or std::nullopt if the row is gone.
+   */
   std::optional<Instant> Until(Instant aNow) const;
-  /** For how long own reads have gone on without a failure. For the peers. */
+  /**
+   * Returns for how long this instance's reads have continued without a
+   * failure. Reported to the peers.
+   */
   std::optional<Duration> ReadsFor(Instant aNow) const;
   /**
-   * The end of a grace for a row, by what is known of its upstream's hall:
-   * `aHallReadsSince`, since when some instance there has read the store
-   * without a failure. Its upstreams have reached the store for as long, so a
-   * row that lapsed before is back by then, and one that is missing is gone.
-   * Nothing: there is no grace.
+   * Limits the grace period of a row by what is known of the data centre of its
+   * upstream. `aHallReadsSince` is the time since when some instance there has
+   * read the store without a failure. The upstreams there have been able to
+   * reach the store since then, so a row that had expired before is back
+   * `kGracePeriod` after that time at the latest, and a row that is still
+   * missing then is gone. Returns std::nullopt if there is no grace period.
    */
   static std::optional<Instant> Bounded(std::optional<Instant> aUntil,
                                         std::optional<Instant> aHallReadsSince,
                                         Instant aNow);
 
 private:
-  friend class FollowerState; // Of the tests that enumerate states.
+  friend class FollowerState; // Used by the tests that enumerate states.
   bool HearsOfSteady(Instant aNow) const;
 
   bool m_lost = false;
-  /** Steady peers were heard ever since own reads began to fail. */
+  /**
+   * True if steady peers were heard continuously since this instance's own
+   * reads began to fail.
+   */
   bool m_heardThrough = false;
-  std::optional<Instant> m_answersSince; ///< Without a failure; nothing: none.
+  /**
+   * Since when answers have come without a failure; std::nullopt if there is no
+   * such answer.
+   */
+  std::optional<Instant> m_answersSince;
   Instant m_lastAnswer;
   std::optional<Instant> m_peerSteadyAt;
   std::optional<Instant> m_until;
--- a/packages/relay/include/ridgeferry/relay/LeavingNews.h
+++ b/packages/relay/include/ridgeferry/relay/LeavingNews.h
@@ -8,30 +8,37 @@
 namespace ridgeferry::relay {
 
 /**
- * Which leaving upstreams this instance tells the others of, so that each
- * learns of a leaving one even if its own list is late.
+ * The set of leaving upstreams that this instance announces to the others, so
+ * that each instance learns that an upstream leaves even if its own copy of the
+ * list is late.
  *
- * Invariant: only upstreams that are listed here are told. So news ends with
- * the listing: an instance that has seen the end does not take the news back
- * from one that has not, and the set stays as small as what leaves right now.
- * Decisions only; not thread-safe.
+ * Invariant: only upstreams that are listed here are announced. An announcement
+ * therefore ends when the upstream is removed from the list. An instance that
+ * has seen the removal does not accept the announcement again from one that has
+ * not, and the set stays as small as the number of upstreams that are leaving
+ * at the moment. Decides only, without I/O; not thread-safe.
  */
 class LeavingNews
 {
 public:
-  /** The list says that it leaves. Returns whether that is new. */
+  /**
+   * Records that the list shows the upstream as leaving. Returns whether that
+   * is new.
+   */
   bool NoteListed(const UpstreamLife& aUpstream);
   /**
-   * Another instance says that it leaves; `aListed`: the life that the list as
-   * held here has under that id, null if it has none. Returns whether it is to
-   * be acted on.
+   * Records that another instance announces the upstream as leaving. `aListed`
+   * is the incarnation that this instance's list has under that id, null if it
+   * has none. Returns whether the caller must act on the announcement.
    */
   bool NoteFromPeer(const UpstreamLife& aUpstream, const UpstreamLife* aListed);
-  /** It, or this life of it, is no longer listed: there is nothing left to
-   * tell. */
+  /**
+   * Records that the upstream, or this incarnation of it, is no longer listed.
+   * It is no longer announced.
+   */
   void NoteGone(std::string_view aUpstream);
 
-  /** By id. */
+  /** Returns the upstreams to announce, by id. */
   const std::map<std::string, UpstreamLife, std::less<>>& Told() const
   {
     return m_told;
--- a/packages/relay/include/ridgeferry/relay/TableFollower.h
+++ b/packages/relay/include/ridgeferry/relay/TableFollower.h
@@ -16,36 +16,47 @@
 
 struct FollowBegan
 {};
-/** Other instances are known by now, or that there are none. */
+/**
+ * The instance now knows which other instances exist. Sent also if there are
+ * none.
+ */
 struct PeersListed
 {
   bool m_any = false;
 };
-/** All rows of the table as of one position. */
+/** Answer to `ReadTable`: all rows of the table as of one position. */
 struct TableRead
 {
   std::vector<FollowedRow> m_rows;
   StorePosition m_position;
 };
-/** Changes after the position that was asked for; possibly none. */
+/**
+ * Answer to `ReadChanges`: the changes after the requested position, possibly
+ * none.
+ */
 struct ChangesRead
 {
   std::vector<FollowedRow> m_rows;
   StorePosition m_position;
 };
-/** The store does not know the changes after that position: it has forgotten
- * them, or never had them in its present generation. */
+/**
+ * Answer to `ReadChanges`: the store does not know the changes after the
+ * requested position. Either it has discarded that history, or it never had
+ * these changes in its present generation.
+ */
 struct HistoryGone
 {
   StoreGeneration m_generation = 0;
 };
-/** Something else shows that the store has that generation: any other answer
- * of it, or a peer's word. */
+/**
+ * The store is known to have this generation from a source other than a read of
+ * this table: from another answer of the store, or from a peer's message.
+ */
 struct GenerationSeen
 {
   StoreGeneration m_generation = 0;
 };
-/** No answer, or none that can be used. */
+/** A read of the store got no answer, or none that can be used. */
 struct ReadFailed
 {
   std::string m_cause;
@@ -57,26 +68,40 @@
 {
   TableSlice m_slice;
 };
-/** None did, or none that knows more. */
+/**
+ * No peer answered `AskPeer`, or none of the answers is newer than the table
+ * held here.
+ */
 struct PeerFailed
 {};
-/** Another instance has read a change at that position. */
+/** Another instance has read a change at this position. */
 struct PeerIsAhead
 {
   StorePosition m_position;
 };
-/** Another instance's reads of the store fail, and nobody's are heard to
- * succeed. */
+/**
+ * Another instance reports that its reads of the store fail, and no instance is
+ * known whose reads succeed.
+ */
 struct PeerLostStore
 {};
-/** Another instance's reads are steady: see `LapseGrace::IsSteady`. */
+/**
+ * Another instance reports that its reads are steady. See
+ * `ExpiryGrace::IsSteady`.
+ */
 struct PeerReadsSteadily
 {};
-/** Whether this instance is one of those that keep an eye on the store. */
+/**
+ * Sets whether this instance is one of those that poll the store continuously.
+ */
 struct DutyChanged
 {
   bool m_onDuty = true;
-  /** By its place, not only as nobody is heard whose reads succeed. */
+  /**
+   * True if this instance is a designated poller: its rank among the instances
+   * makes it one. False if it polls only because it hears from no instance
+   * whose reads succeed.
+   */
   bool m_byPlace = true;
 };
 
@@ -99,56 +124,77 @@
 
 struct ReadTable
 {
-  /** A page that has not come by then counts as failed. */
+  /** A page that has not arrived within this time counts as a failed read. */
   Duration m_patience{};
 };
-/** Ask for changes; the store holds the call until some exist. */
+/**
+ * Asks the store for changes. The store holds the call open until a change
+ * exists or `m_wait` is over.
+ */
 struct ReadChanges
 {
   StorePosition m_after;
   Duration m_wait{};
-  /** Without an answer by then, which is after `m_wait`, it counts as failed.
+  /**
+   * A read that is unanswered for this time counts as failed. Longer than
+   * `m_wait`.
    */
   Duration m_patience{};
 };
-/** Ask one of the instances that have read further, or any if none is known to,
- * for the changes after a position; version 0: for all. */
+/**
+ * Asks an instance that has read further than this one, or any instance if none
+ * is known to have, for the changes after a position. Version 0 asks for all
+ * rows.
+ */
 struct AskPeer
 {
   StorePosition m_after;
-  /** Ask at some moment within this time: those that ask later find more
-   * instances that know. */
+  /**
+   * The question is sent at a random moment within this time. Instances that
+   * ask later find more peers that already have the change.
+   */
   Duration m_within{};
 };
-/** Give up the read that is under way. */
+/** Cancels the read that is under way. */
 struct DropRead
 {};
-/** Come back with `RetryDue`. */
+/** Requests a `RetryDue` event after the delay. */
 struct RetryLater
 {
   Duration m_delay{};
-  /** At some moment within this time after the delay: many that wait for the
-   * same do not ask at the same moment. */
+  /**
+   * The event comes at a random moment within this time after the delay, so
+   * that many instances that wait for the same thing do not ask at the same
+   * moment.
+   */
   Duration m_within{};
 };
-/** Rows that are new, changed or removed, in the store's order. */
+/** Applies rows that are new, changed or removed, in the store's order. */
 struct ApplyRows
 {
   std::vector<FollowedRow> m_rows;
-  /** The store was out of reach shortly before: until then, a removed row may
-   * only have lapsed, and come back. Nothing: removed is gone. */
+  /**
+   * Set if the store was unreachable shortly before: until this time, a removed
+   * row may only have expired and may come back. If std::nullopt, a removed row
+   * is gone.
+   */
   std::optional<Instant> m_lapsesUntil;
-  /** Set on the first rows of a generation: where the table stood before. The
-   * store came back from an older copy, so what differs here is no change: a
-   * missing row is no removal yet, and one that is back may be an old one. */
+  /**
+   * Set only on the first rows of a new generation: the position of the table
+   * before them. The store was restored from an older copy, so these
+   * differences are not changes: a missing row has not necessarily been
+   * removed, and a row that is present again may be out of date.
+   */
   std::optional<StorePosition> m_copyAfter = {};
 };
-/** An answer was not taken: it is of an older position than what is held, or
- * of an older generation than what was seen. Told once until an answer is taken
- * again. */
+/**
+ * An answer was rejected because its position is older than that of the table
+ * held here, or because its generation is older than one already seen. Reported
+ * once, until an answer is accepted again.
+ */
 struct AnswerIsOld
 {
-  StorePosition m_position; ///< Of the answer.
+  StorePosition m_position; ///< Position of the rejected answer.
 };
 struct StoreLost
 {
@@ -156,7 +202,7 @@
 };
 struct StoreBack
 {
-  Duration m_away{}; ///< Since the first read that failed.
+  Duration m_away{}; ///< Time since the first read that failed.
 };
 
 using FollowAction = std::variant<ReadTable,
@@ -170,115 +216,150 @@
                                   StoreBack>;
 
 /**
- * Follows one table of the store: reads it whole, then its changes; whole
- * again when the history is gone. What it has told never goes back to an
- * older version of one generation.
+ * Follows one table of the store. It reads the whole table, then its changes,
+ * and the whole table again when the store has lost the history. Within one
+ * generation, the rows that it reports never go back to an older version.
  *
- * A later generation is another history: its versions may be lower, and changes
- * after a version of the earlier one may be missed for good or not known. So
- * its first sight, by whatever answer or peer, starts a whole read at once;
- * those that rest leave that to the others for a moment, and take it from them.
- * Without it, changes below the old version are not taken for as long as the
- * store's counter takes to pass it; with it they are in force within 2 s
- * (`StoreCopyTest`).
+ * A later generation is a separate history. Its versions may be lower, and the
+ * changes after a version of the earlier generation may be incomplete or
+ * unknown. The first sign of a later generation, in any answer or from any
+ * peer, therefore starts a read of the whole table at once; instances on
+ * standby first wait a moment for the others to read the table and take it from
+ * them. Without generations, changes below the old version would be ignored for
+ * as long as the store's counter takes to pass it; with them, such changes are
+ * in force within 2 s (`StoreCopyTest`).
  *
- * Every call of the store has its price, and a change answers every read that
- * the store holds. So few instances (those on duty) leave a read with it, short
- * enough to notice by themselves that the store has fallen silent. The others
- * rest: when a peer has read further they ask such a peer, and the store only
- * if that does not help; one that starts asks its peers first. So the store is
- * asked by a number of instances that does not grow with the deployment. An
- * instance that hears of nobody on duty is on duty itself. On duty, a read is
- * given up and made again when a peer's news show that it must have been lost.
+ * Every call costs the store something, and one change answers all reads that
+ * the store holds open. So only a few instances, the pollers, keep a read open
+ * at the store; the read is short enough that they notice by themselves when
+ * the store stops responding. The other instances are on standby. When a peer
+ * has read further, they ask such a peer, and ask the store only if that does
+ * not help. An instance that starts asks its peers first. The number of
+ * instances that call the store therefore does not grow with the deployment. An
+ * instance that hears from no poller becomes a poller itself. A poller cancels
+ * its read and sends it again when reports of its peers show that the read must
+ * have been lost.
+ *
+ * While reads fail, the store is not asked to hold any of them open. Each read
+ * only probes whether the store is back, and the next one follows as soon as
+ * the last one has failed. Designated pollers probe like this; the other
+ * instances probe rarely and rely on what their peers have read. A change that
+ * is accepted as the store returns is therefore in force within 1.5 s, while an
+ * instance on standby calls an unreachable store only once every 3 s.
  *
- * While reads fail, the store is not asked to hold any: each is a question
- * whether it is back, and the next one follows as soon as the last has failed.
- * Those on duty by their place ask so; the others ask seldom and go by what
- * peers have read. So a change that is accepted as the store returns is in
- * force within 1.5 s, and instances at rest ask a lost store each 3 s only.
  * A pure state machine; not thread-safe.
  */
 class TableFollower
 {
 public:
   /**
-   * How long the store may hold a read of changes of an instance on duty.
-   * Short enough that a silent store is noticed well within the time that a
-   * change may take to be in force: half a call a second a table.
+   * How long the store may hold a poller's read of changes open. This costs
+   * half a call per second for each table, and is short enough that a poller
+   * notices an unresponsive store well within the time in which a change must
+   * be in force.
    */
   static constexpr Duration kDutyWait{ 2000 };
   /**
-   * How long one that starts tries its peers before it reads the store: a peer
-   * answers within some milliseconds, and after a loss of all instances those
-   * on duty find themselves in that time. One that is not on duty waits once
-   * more, until those have read.
+   * How long an instance that starts asks its peers before it reads the store.
+   * A peer answers within a few milliseconds, and after a loss of all instances
+   * the pollers find each other within this time. An instance that is not a
+   * poller waits for this time once more, until the pollers have read the
+   * table.
    */
   static constexpr Duration kStartPatience{ 500 };
-  /** Peers that one that starts asks in a row. */
+  /** Number of peers that a starting instance asks one after the other. */
   static constexpr int kStartTries = 3;
-  /** Within which those that rest ask a peer after the first word of a change,
-   * so that not all ask the first ones that know. */
+  /**
+   * Instances on standby ask a peer at a random moment within this time after
+   * the first report of a change. If all asked at once, they would all ask the
+   * first peers that know the change.
+   */
   static constexpr Duration kAskWithin{ 250 };
-  /** How long after that word a peer must have told it; else the store is read.
-   * With the reading on duty and the way of the news that is below the shortest
-   * time that a change may take to be in force, two seconds. */
+  /**
+   * If no peer has delivered the change within this time after the first
+   * report, the instance reads the store. The sum of this time, a poller's read
+   * and the delivery of the report is below two seconds, the time in which a
+   * change must be in force.
+   */
   static constexpr Duration kAskPatience{ 800 };
-  /** Longest rest without a read, should all words of changes be lost. */
+  /**
+   * Longest time on standby without a read of the store. It only matters if all
+   * reports of changes are lost.
+   */
   static constexpr Duration kLongestRest{ 60'000 };
-  /** Pause after changes, so that those that come together are read together;
-   * a sixth of the time that a change may take to be in force. */
+  /**
+   * Pause after changes, so that changes made in quick succession are read
+   * together. It is about a sixth of the time in which a change must be in
+   * force.
+   */
   static constexpr Duration kSettle{ 300 };
-  /** How long a peer may be ahead before a read counts as lost: the store
-   * answers all held reads at once, a slow one within that time. */
+  /**
+   * How long a peer may be ahead before this instance's own read counts as
+   * lost. The store answers all held reads at once; even a slow store does so
+   * within this time.
+   */
   static constexpr Duration kBehindPatience{ 400 };
-  /** Longest silence of the store beyond what it was asked to wait: it answers
-   * in milliseconds, and sixty times slower when it is ill. */
+  /**
+   * How long the store may take to respond, beyond the time that it was asked
+   * to hold the read. The store normally answers within milliseconds; this
+   * allows for a store that is sixty times slower than usual.
+   */
   static constexpr Duration kStoreSlack{ 800 };
-  /** The same for a page of a whole table: after a loss of all instances,
+  /**
+   * Time-out for one page of a whole table. After a loss of all instances,
    * hundreds of them read a megabyte each at the same moment, over links of
-   * some megabits a second. */
+   * some megabits per second.
+   */
   static constexpr Duration kPageSlack{ 2500 };
-  /** First and longest time between the beginnings of two reads of which the
-   * first fails, on duty by place. A silent store has used it up by then. */
+  /**
+   * Shortest and longest time from the start of a read that fails to the start
+   * of the next read, for designated pollers. A read that fails because the
+   * store does not respond has already used up that time, so the next read
+   * follows at once.
+   */
   static constexpr Duration kFirstRetry{ 150 };
   static constexpr Duration kLongestRetry{ 600 };
   /**
-   * Pause after a failed read of those that are not, drawn between the two:
-   * their word of the return comes from those that are, within 0.3 s. On their
-   * own, should all of those be turned away, the first of ten notices it within
-   * 1.5 s on average, at a call each 3 s.
+   * After a failed read, an instance that is not a designated poller pauses for
+   * a random time between these two. Usually it learns from the designated
+   * pollers within 0.3 s that the store is back. If the store rejects all
+   * designated pollers, the first of ten such instances notices the return
+   * within 1.5 s on average, at one call every 3 s for each instance.
    */
   static constexpr Duration kLeastStandby{ 1000 };
   static constexpr Duration kMostStandby{ 4000 };
 
-  /** See `FollowedTable`. */
+  /** `aKeeps`: see `FollowedTable`. */
   explicit TableFollower(KeepsKnown aKeeps = {});
 
   std::vector<FollowAction> Handle(const FollowEvent& aEvent, Instant aNow);
 
   bool HasRead() const { return m_hasRead; }
-  /** Up to where the table was read. */
+  /** Returns the position up to which the table was read. */
   StorePosition Position() const { return m_table.Position(); }
-  /** Latest generation that was seen; the table may still be of an earlier one.
+  /**
+   * Returns the latest generation seen. The table may still be of an earlier
+   * one.
    */
   StoreGeneration Generation() const { return m_generation; }
-  /** That of the last change of a row that was read. */
+  /** Returns the position of the last change of a row that was read. */
   StorePosition ChangedPosition() const { return m_table.ChangedPosition(); }
-  /** For a peer: what changed after a position. Nothing was read yet: version
-   * 0.
+  /**
+   * Returns, for a peer, what changed after a position. The version of the
+   * returned slice is 0 if nothing was read yet.
    */
   TableSlice Since(StorePosition aAfter) const { return m_table.Since(aAfter); }
   bool IsLost() const { return m_grace.IsLost(); }
-  /** See `LapseGrace::IsSteady`. */
+  /** See `ExpiryGrace::IsSteady`. */
   bool IsSteady(Instant aNow) const { return m_grace.IsSteady(aNow); }
-  /** See `LapseGrace::ReadsFor`. */
+  /** See `ExpiryGrace::ReadsFor`. */
   std::optional<Duration> ReadsFor(Instant aNow) const
   {
     return m_grace.ReadsFor(aNow);
   }
 
 private:
-  friend class FollowerState; // Of the tests that enumerate states.
+  friend class FollowerState; // Used by the tests that enumerate states.
   using Actions = std::vector<FollowAction>;
 
   void On(const FollowBegan& aEvent, Instant aNow, Actions& aActions);
@@ -297,7 +378,10 @@
   void On(const DutyChanged& aEvent, Instant aNow, Actions& aActions);
 
   void Ask(Instant aNow, Actions& aActions);
-  /** `aWait`: how long the store may hold the call. */
+  /**
+   * Reads the table or its changes from the store. `aWait` is the time for
+   * which the store may hold a read of changes open.
+   */
   void Ask(Instant aNow, Duration aWait, Actions& aActions);
   void AskAPeer(Duration aWithin, Actions& aActions);
   void TakeTable(std::span<const FollowedRow> aRows,
@@ -308,19 +392,34 @@
                    StorePosition aPosition,
                    Instant aNow,
                    Actions& aActions);
-  /** After an answer: what comes next, the next read or a rest. */
+  /**
+   * Called after an answer was accepted: starts the next read, or goes on
+   * standby.
+   */
   void GoOn(Instant aNow, Actions& aActions);
   void AskAnew(Instant aNow, Actions& aActions);
-  /** A peer has read what the own whole read may still miss. */
+  /**
+   * Called when a peer is ahead while the whole table is still needed here, so
+   * that this instance's own read may miss what the peer has read. Asks a peer
+   * for the whole table. If a read of the store is under way, an instance that
+   * has no table yet waits for it, and one that has a table asks a peer after
+   * `kBehindTimeout`.
+   */
   void AskForTable(Instant aNow, Actions& aActions);
-  /** When to read again after a read that failed. */
+  /** Returns when to read again after a read that failed. */
   RetryLater NextTry(Instant aNow) const;
   void Refuse(StorePosition aPosition, Actions& aActions);
-  /** Whether a generation is later than any seen before; notes it. */
+  /**
+   * Records the generation if it is later than any seen before. Returns whether
+   * it is.
+   */
   bool RaiseGeneration(StoreGeneration aGeneration, Instant aNow);
-  /** A later one was seen elsewhere: see to a whole read. */
+  /**
+   * Called when a later generation was seen elsewhere: arranges a read of the
+   * whole table.
+   */
   void FollowGeneration(Instant aNow, Actions& aActions);
-  /** What a peer is asked for. */
+  /** Returns the position after which peers are asked for changes. */
   StorePosition AskedOfPeers() const;
   void NoteAnswer(Instant aNow, Actions& aActions);
 
@@ -329,19 +428,27 @@
   LapseGrace m_grace;
   bool m_onDuty = true;
   bool m_onDutyByPlace = true;
-  bool m_asking = false;      ///< A read of the store is under way.
-  StorePosition m_askedAfter; ///< Of the last read of changes.
-  Instant m_askedAt;          ///< When the last one began.
-  bool m_askingPeer = false;  ///< A peer is asked.
-  int m_startTries = 0;       ///< Peers asked since the start.
-  bool m_hasWaited = false;   ///< Its first patience at the start is over.
-  bool m_resting = false;     ///< Neither is, and none is due soon.
+  bool m_asking = false; ///< True while a read of the store is under way.
+  StorePosition
+    m_askedAfter;    ///< Position that the last read of changes was sent with.
+  Instant m_askedAt; ///< Time when the last read began.
+  bool m_askingPeer = false; ///< True while a question to a peer is open.
+  int m_startTries =
+    0; ///< Number of unanswered questions to peers since the start.
+  bool m_hasWaited =
+    false; ///< True once the first `kStartTimeout` has passed without a table.
+  bool m_resting =
+    false; ///< True while no read is under way and none is due soon.
   std::optional<Instant> m_behindSince;
-  StorePosition m_askedAnewFor; ///< That the last `DropRead` was for.
-  bool m_toldOld = false;       ///< `AnswerIsOld`, since an answer was taken.
+  /** The peer's position for which a lost read was last cancelled and sent
+   * again. */
+  StorePosition m_askedAnewFor;
+  /** True if `AnswerIsOld` was reported since an answer was last accepted. */
+  bool m_toldOld = false;
   Duration m_retry = kFirstRetry;
-  Instant m_lostAt; ///< The first read that failed; meaningful while lost.
-  StoreGeneration m_generation = 0; ///< Latest one seen.
+  /** Time of the first read that failed. Only valid while the store is lost. */
+  Instant m_lostAt;
+  StoreGeneration m_generation = 0; ///< Latest generation seen.
   FollowedTable m_table;
 };
 
--- a/packages/relay/src/FollowedTable.cpp
+++ b/packages/relay/src/FollowedTable.cpp
@@ -14,7 +14,7 @@
 void
 FollowedTable::Take(const FollowedRow& aRow, std::uint64_t aVersion)
 {
-  // The answer's own version is no lower than that of any row in it.
+  // The version of the answer is not lower than that of any row in it.
   const std::uint64_t version = aRow.m_version == 0 ? aVersion : aRow.m_version;
   m_changed = std::max(m_changed, version);
   if (!aRow.m_removed) {
@@ -88,14 +88,15 @@
   const std::uint64_t version = aPosition.m_version;
   const std::vector<FollowedRow> rows = WithKept(aRows, version);
   if (aPosition.m_generation > m_position.m_generation) {
-    m_changed = 0; // Of the generation before.
+    m_changed = 0; // `m_changed` belongs to the previous generation.
   }
   std::vector<FollowedRow> out = Differences(rows);
   m_rows.clear();
   for (const FollowedRow& row : rows) {
     Take(row, version);
   }
-  // When the others were removed is not known, nor what came and went between.
+  // The versions at which the missing rows were removed are not known, nor are
+  // the rows that were added and removed in between.
   m_removals.clear();
   m_knowsAfter = version;
   m_position = aPosition;
@@ -129,7 +130,7 @@
     return out;
   }
   for (const Removal& removal : m_removals) {
-    // One that came back since is told by its row.
+    // A row that was added again since its removal is already in the slice.
     if (removal.m_version > after && !m_rows.contains(removal.m_key)) {
       out.m_rows.push_back({ removal.m_key, {}, true, removal.m_version });
     }
--- a/packages/relay/src/GoneUpstreams.cpp
+++ b/packages/relay/src/GoneUpstreams.cpp
@@ -28,9 +28,10 @@
   }
   const auto born = gone->second.m_life.m_born;
   if (Compare(born, aMember.m_born) == LifeOrder::Later) {
-    return false; // It started after the one that has gone.
+    return false; // This incarnation started after the one that was removed.
   }
-  // A second copy renews nothing: the hold goes on from the first.
+  // If the row is already held back, a further copy does not restart the hold
+  // time.
   m_held.try_emplace(aMember.m_id, Hold{ aMember, aNow + kHold });
   return true;
 }
--- a/packages/relay/src/LapseGrace.cpp
+++ b/packages/relay/src/LapseGrace.cpp
@@ -17,7 +17,7 @@
 bool
 LapseGrace::NoteAnswer(Instant aNow)
 {
-  // Nothing is known of the time between two answers that lie far apart.
+  // If two answers are far apart, nothing is known of the time between them.
   if (!m_answersSince || aNow - m_lastAnswer > kAnswerAge) {
     m_answersSince = aNow;
   }
@@ -45,7 +45,7 @@
 LapseGrace::NotePeerLost(Instant aNow)
 {
   if (IsSteady(aNow)) {
-    return; // It is the peer that is cut off.
+    return; // The peer is cut off, not the store.
   }
   m_peerSteadyAt.reset();
   const Instant until = aNow + kPeerLapseTime;
--- a/packages/relay/src/TableFollower.cpp
+++ b/packages/relay/src/TableFollower.cpp
@@ -32,7 +32,7 @@
   m_askedAt = aNow;
   m_resting = false;
   if (m_needsTable) {
-    // One that serves already and meets silence asks again sooner.
+    // An instance that already serves retries an unresponsive store sooner.
     const bool isProbe = m_hasRead && m_grace.IsLost();
     aActions.emplace_back(ReadTable{ isProbe ? kStoreSlack : kPageSlack });
     return;
@@ -84,12 +84,12 @@
 {
   if (m_grace.IsLost()) {
     if (!m_askingPeer) {
-      AskAPeer(kAskWithin, aActions); // The own read has its time already.
+      AskAPeer(kAskWithin, aActions); // The next read is already scheduled.
     }
     return;
   }
-  // What is under way was asked of the generation before, and may have been
-  // lost with it.
+  // A read that is under way was sent to the previous generation and may have
+  // been lost with it.
   if (std::exchange(m_asking, false)) {
     aActions.emplace_back(DropRead{});
   }
@@ -121,8 +121,9 @@
 {
   m_behindSince.reset();
   aActions.emplace_back(DropRead{});
-  // There is a change to tell, so a store that serves this one says so at once;
-  // one that does not is found out two seconds sooner than by a held read.
+  // A change is known to exist, so a store that serves this instance answers at
+  // once. A store that does not serve it is detected two seconds sooner than by
+  // a read that the store may hold open.
   Ask(aNow, Duration{}, aActions);
   if (!m_askingPeer) {
     AskAPeer(kAskWithin, aActions);
@@ -136,15 +137,16 @@
     return;
   }
   if (!m_asking) {
-    // A whole read takes its time, the longer the more instances make one.
+    // Reading the whole table from the store takes time, and the more instances
+    // do so, the longer it takes. A peer answers sooner.
     AskAPeer({}, aActions);
     return;
   }
   if (!m_hasRead) {
     return;
   }
-  // One that serves by what it holds does not wait for a store that may have
-  // turned it away alone.
+  // One that already serves from the rows it holds must not wait for the store,
+  // which may be rejecting this instance alone.
   if (!m_behindSince) {
     m_behindSince = aNow;
   } else if (aNow - *m_behindSince >= kBehindPatience) {
@@ -239,7 +241,7 @@
   } else {
     TakeChanges(slice.m_rows, slice.m_position, aNow, aActions);
   }
-  // While own reads fail, the next one has its time already.
+  // While the reads of this instance fail, the next one is already scheduled.
   if (!m_asking && !m_grace.IsLost()) {
     GoOn(aNow, aActions);
   }
@@ -253,7 +255,7 @@
   }
   if (!m_needsTable || m_hasRead) {
     if (m_behindSince) {
-      AskAPeer(kAskWithin, aActions); // Until the patience is over.
+      AskAPeer(kAskWithin, aActions); // Until `kAskPeerTimeout` is over.
     }
   } else if (++m_startTries < kStartTries) {
     AskAPeer({}, aActions);
@@ -268,7 +270,8 @@
   const bool isOld = aEvent.m_position.m_generation < m_generation ||
                      (m_hasRead && aEvent.m_position < m_table.Position());
   if (isOld) {
-    // An answer from before what was already told: ask again a little later.
+    // The answer is older than what was already reported. Ask again a little
+    // later.
     Refuse(aEvent.m_position, aActions);
     aActions.emplace_back(RetryLater{ kFirstRetry });
     return;
@@ -288,8 +291,9 @@
     aActions.emplace_back(RetryLater{ kFirstRetry });
     return;
   }
-  // Changes after a version of another generation are not all there are, also
-  // where a peer has told of the present one since they were asked for.
+  // Changes after a version of another generation are incomplete. This also
+  // holds if a peer has delivered the present generation since the changes were
+  // requested.
   const bool hasGap = m_askedAfter.m_generation != told.m_generation;
   const bool isOld = m_needsTable || hasGap || told < m_table.Position();
   if (isOld || aEvent.m_rows.empty()) {
@@ -319,7 +323,7 @@
 void
 TableFollower::On(const GenerationSeen& aEvent, Instant aNow, Actions& aActions)
 {
-  // Before the first read a whole one is due in any case.
+  // Before the first read, a read of the whole table is due in any case.
   if (RaiseGeneration(aEvent.m_generation, aNow) && m_hasRead) {
     FollowGeneration(aNow, aActions);
   }
@@ -341,7 +345,8 @@
 void
 TableFollower::On(const RetryDue&, Instant aNow, Actions& aActions)
 {
-  // A timer of a rest that has ended otherwise may still come.
+  // A timer that was set for standby may still fire after standby has ended for
+  // another reason.
   if (m_asking) {
     return;
   }
@@ -376,8 +381,9 @@
     return;
   }
   if (m_grace.IsLost()) {
-    // That peer is served, or was before this one's outage: it can pass on what
-    // the store may withhold from this one for long, at whichever question.
+    // That peer is served by the store, or was before this instance's outage.
+    // It can pass on a change that the store may withhold from this instance
+    // for long, whichever read is sent.
     if (!m_askingPeer) {
       AskAPeer(kAskWithin, aActions);
     }
@@ -386,8 +392,8 @@
   if (!m_asking) {
     return;
   }
-  // A read is made anew once for each version: what the store does not tell
-  // then it will not tell, but a peer may.
+  // A read is sent again only once for each version. If the store does not
+  // return the change then, it will not do so later, but a peer may.
   if (told <= m_askedAnewFor) {
     if (!m_askingPeer) {
       AskAPeer(kAskWithin, aActions);
@@ -405,7 +411,8 @@
 void
 TableFollower::On(const PeerLostStore&, Instant aNow, Actions&)
 {
-  // What is removed after this may only have lapsed, as after an own failure.
+  // A row that is removed after this may only have expired, as after a failed
+  // read of this instance.
   m_grace.NotePeerLost(aNow);
 }
 
