--- a/packages/relay/tests/FollowedTableTest.cpp
+++ b/packages/relay/tests/FollowedTableTest.cpp
@@ -7,11 +7,11 @@
 namespace ridgeferry::relay {
 namespace {
 
-/** What somebody gets who holds the table as of a version. */
+/** The slice that a peer gets if it holds the table as of a version. */
 struct SinceCase
 {
   const char* m_name;
-  std::uint64_t m_after; ///< Version.
+  std::uint64_t m_after; ///< Version that the peer holds.
   bool m_whole;
   std::vector<FollowedRow> m_rows;
 };
@@ -69,7 +69,8 @@
   EXPECT_FALSE(table.Since(PositionAt(version - 2)).m_whole);
 }
 
-// Whoever takes slices, at whatever moments, ends with the same rows.
+// Guards against lost changes: a copy that applies slices at arbitrary moments
+// must have the same rows as the table.
 TEST(FollowedTableWorldTest, SlicesBringACopyUpToDate)
 {
   EXPECT_TRUE(rc::check("slices", [] {
--- a/packages/relay/tests/FollowerState.h
+++ b/packages/relay/tests/FollowerState.h
@@ -10,14 +10,19 @@
 
 namespace ridgeferry::relay {
 
-/** What a follower's next decisions on reading hang on, as numbers. */
+/**
+ * The state of a follower that determines its next decisions on reading, as
+ * numbers.
+ */
 class FollowerState
 {
 public:
   using Numbers = std::vector<std::int64_t>;
 
-  /** Appends them; times relative to `aNow`. What only the graces of removed
-   * rows hang on is left out. */
+  /**
+   * Appends the state, with times relative to `aNow`. State that only affects
+   * the grace periods of removed rows is left out.
+   */
   static void Write(const TableFollower& aFollower,
                     Instant aNow,
                     Numbers& aNumbers)
@@ -35,7 +40,7 @@
     aNumbers.push_back(
       std::min(aFollower.m_startTries, TableFollower::kStartTries));
     aNumbers.push_back(aFollower.m_retry.count());
-    // Older questions all leave no pause before the next one.
+    // After any longer time than this, the next read follows without a pause.
     aNumbers.push_back(
       std::min(aNow - aFollower.m_askedAt, TableFollower::kLongestRetry)
         .count());
@@ -56,7 +61,7 @@
     }
   }
 
-  /** It holds these values, and no others. */
+  /** Returns whether the follower holds these values and no others. */
   static bool Holds(const TableFollower& aFollower,
                     std::span<const FollowedRow> aRows)
   {
--- a/packages/relay/tests/FreshnessModel.cpp
+++ b/packages/relay/tests/FreshnessModel.cpp
@@ -11,10 +11,12 @@
 
 constexpr int kStepMs = 100;
 constexpr int kAnswerMs = 100;
-/** Between two words of an instance to all others, and for how long they may be
- * lost. */
+/**
+ * Time between two messages of an instance to all others. `kWordsLostMs` is the
+ * time for which messages are lost after `Happens::WordsLost`.
+ */
 constexpr int kWordMs = 200;
-/** Between two looks at who is on duty. */
+/** Time between two checks of which instances poll. */
 constexpr int kLookMs = 200;
 constexpr int kWordsLostMs = 1000;
 
@@ -24,11 +26,14 @@
   return static_cast<int>(aDuration.count());
 }
 
-/** Until a held read without an answer counts as failed. */
+/** Time after which a held read without an answer counts as failed. */
 const int kHeldReadMs =
   Ms(TableFollower::kDutyWait + TableFollower::kStoreSlack);
-/** On duty, an instance that has learned nothing for so long says that it has
- * lost the store: a held read, and the one that was made in its place. */
+/**
+ * A poller that has received no answer for this time must report that it has
+ * lost the store. This covers a held read and the read that was sent in its
+ * place.
+ */
 const int kSaysWithinMs = Ms(TableFollower::kSettle + TableFollower::kDutyWait +
                              2 * TableFollower::kStoreSlack) +
                           kAnswerMs + kStepMs;
@@ -40,7 +45,8 @@
 {
   m_copy = m_rows;
   const std::uint64_t version = ++m_position.m_version;
-  // Both rows in turn, so that whoever misses a change lacks it afterwards.
+  // Changes the two rows in turn, so that an instance that misses a change
+  // lacks it afterwards.
   FollowedRow& row = m_rows[version % m_rows.size()];
   row.m_version = version;
   row.m_value =
@@ -231,7 +237,7 @@
     std::visit([&](const auto& aTyped) { Do(instance, aTyped); }, action);
   }
   if (instance.m_follower.Position() < before) {
-    m_fault = "what is held went back";
+    m_fault = "the position of a table went back";
   }
 }
 
@@ -258,7 +264,8 @@
 void
 FreshnessModel::Do(Instance& aInstance, const RetryLater& aLater)
 {
-  // A rest ends by a word, or else as good as never.
+  // Standby ends when a peer reports a change. The time limit of standby is too
+  // long to matter here.
   const bool isRest = aLater.m_delay >= TableFollower::kLongestRest;
   aInstance.m_rests = isRest;
   aInstance.m_dueAt =
@@ -299,7 +306,7 @@
       TellOthers(i);
     }
     if (!HasNext(instance)) {
-      m_fault = "instance " + std::to_string(i) + " waits for nothing";
+      m_fault = "instance " + std::to_string(i) + " waits for no event";
     }
     CheckSaysWhenLost(i);
   }
@@ -318,7 +325,8 @@
   const bool isLong = m_now - instance.m_provenAt > kSaysWithinMs;
   const bool isOnDuty = aWho < kOnDuty && instance.m_follower.HasRead();
   if (isOnDuty && isLong && !instance.m_follower.IsLost()) {
-    m_fault = "instance " + std::to_string(aWho) + " says nothing of its age";
+    m_fault = "instance " + std::to_string(aWho) +
+              " does not report that it has lost the store";
   }
 }
 
@@ -339,8 +347,9 @@
     Take(aWho, ReadFailed{ "away" });
     return;
   }
-  // Of a generation that it holds at the very version asked for it tells by
-  // other calls, of the lease and the own row: here as if by this one.
+  // If the new generation is at the very version that was asked for, the store
+  // reveals it only in other calls, those for the lease and for the instance's
+  // own row. The model simplifies this: the read itself reveals it.
   const bool isNews = read.m_after != m_store.m_position;
   const bool isDue =
     m_now >= read.m_heldUntil || (isNews && m_now >= read.m_answersAt);
@@ -441,7 +450,8 @@
   const bool isLost =
     aInstance.m_read && (aInstance.m_read->m_lost || aInstance.m_ignored);
   if (aInstance.m_ignored && !aInstance.m_follower.HasRead()) {
-    // It takes its table from a peer, and has a read of its own to try.
+    // The instance takes its table from a peer and still has a read of its own
+    // to try.
     return m_now + Ms(2 * TableFollower::kStartPatience) + kHeldReadMs;
   }
   const bool isSettling = !aInstance.m_read && !aInstance.m_follower.IsLost();
@@ -450,14 +460,15 @@
   }
   if (aInstance.m_onDutyByPlace && aInstance.m_follower.HasRead() &&
       aInstance.m_follower.IsLost()) {
-    // It is to ask short questions, whatever it does ask.
+    // The instance must send only short reads while the store is lost, whatever
+    // it actually sends.
     const int latest = m_now + Ms(TableFollower::kStoreSlack);
     return isLost ? std::min(aInstance.m_read->m_failsAt, latest) : m_now;
   }
   if (aInstance.m_onDutyByPlace) {
     return isLost ? aInstance.m_read->m_failsAt : m_now;
   }
-  // The others ask seldom.
+  // Instances that are not designated pollers rarely read the store.
   if (isLost) {
     return aInstance.m_read->m_failsAt + Ms(TableFollower::kMostStandby);
   }
@@ -535,10 +546,11 @@
            std::to_string(aPosition.m_version);
   };
   std::string out = "store " + text(m_store.m_position) +
-                    (IsStoreThere() ? "" : " (away)") + ", held";
+                    (IsStoreThere() ? "" : " (unreachable)") +
+                    ", positions of the instances";
   for (const Instance& instance : m_instances) {
     out += " " + text(instance.m_follower.Position()) +
-           (instance.m_follower.IsLost() ? " (lost)" : "");
+           (instance.m_follower.IsLost() ? " (store lost)" : "");
   }
   return out;
 }
--- a/packages/relay/tests/FreshnessModel.h
+++ b/packages/relay/tests/FreshnessModel.h
@@ -11,30 +11,32 @@
 
 namespace ridgeferry::relay {
 
-/** What may happen between two steps of the model. */
+/** Events that may happen between two steps of the model. */
 enum class Happens
 {
   Nothing,
-  Change,         ///< The store accepts one.
-  StoreSilent,    ///< It takes calls and says nothing.
-  StoreRefuses,   ///< It refuses them.
-  StoreBack,      ///< As it was.
-  StoreBackOlder, ///< From a copy that lacks its last change.
-  WordsLost,      ///< Of all instances, for a time.
-  ReadLost,       ///< That of one instance which is under way.
-  Ignored,        ///< All reads of one instance from here on.
-  Heeded,         ///< No more.
-  AskFails,       ///< One instance's question to a peer.
-  Restarts,       ///< One instance, with nothing.
+  Change,       ///< The store accepts a change.
+  StoreSilent,  ///< The store accepts calls and does not respond.
+  StoreRefuses, ///< The store refuses calls.
+  StoreBack,    ///< The store is available again, with its data unchanged.
+  /** The store is restored from an older copy, which lacks its last change. */
+  StoreBackOlder,
+  WordsLost, ///< The messages of all instances are lost for a time.
+  ReadLost,  ///< The read that one instance has under way is lost.
+  Ignored,   ///< The store ignores all reads of one instance from now on.
+  Heeded,    ///< The store no longer ignores the instance.
+  AskFails,  ///< One instance's question to a peer fails.
+  Restarts,  ///< One instance restarts without any data.
 };
 
 struct Happening
 {
   Happens m_what = Happens::Nothing;
-  std::size_t m_who = 0; ///< The instance, where it is of one.
+  /** The instance that the event concerns, if it concerns only one. */
+  std::size_t m_who = 0;
 };
 
-/** How much more may happen. */
+/** The number of events that may still happen. */
 struct Budget
 {
   int m_faults = 0;
@@ -42,38 +44,47 @@
 };
 
 /**
- * Three instances that follow one table of one store, two of them on duty, in
- * virtual time: the very class that serves, between stand-ins that act by the
- * step. All draws of times come out longest. A plain value.
+ * A model of three instances that follow one table of one store in virtual
+ * time; two of them are pollers. It runs the production class `TableFollower`
+ * between stand-ins that act in fixed steps. All random delays take their
+ * largest value. A plain value.
  */
 class FreshnessModel
 {
 public:
   static constexpr std::size_t kInstances = 3;
-  /** On duty by their place: the first ones. */
+  /** Number of designated pollers. They are the first instances. */
   static constexpr std::size_t kOnDuty = 2;
-  /** Something may happen each so often. */
+  /** An event may happen once in this time. */
   static constexpr int kChoiceMs = 200;
 
   explicit FreshnessModel(Budget aBudget);
 
-  /** What may happen now. */
+  /** Returns the events that may happen now. */
   std::vector<Happening> Choices() const;
   void Apply(const Happening& aHappening);
-  /** Plays up to the next choice. */
+  /** Plays up to the next choice of an event. */
   void PlayOn();
 
-  /** Equal for states that go on alike. */
+  /** Returns a hash that is equal for states that continue in the same way. */
   std::uint64_t Digest() const;
-  /** The store answers some instance. */
+  /** Returns whether the store answers at least one instance. */
   bool IsServingAny() const;
-  /** All that serve hold what the store has accepted. */
+  /**
+   * Returns whether all instances that have a table hold what the store has
+   * accepted.
+   */
   bool AllAreFresh() const;
-  /** For how long what happened before may still keep the instances from
-   * reading: those on duty from all that asks the store, or all from each
-   * other. */
+  /**
+   * Returns for how long, in milliseconds, past events may still keep the
+   * instances from reading: the pollers from noticing that they must read from
+   * the store, or all of them from receiving messages of each other.
+   */
   int DisturbedForMs() const;
-  /** What was found wrong on the way; empty: nothing. */
+  /**
+   * Returns the fault that was found while playing, or an empty string if there
+   * was none.
+   */
   const std::string& Fault() const { return m_fault; }
   std::string Describe() const;
 
@@ -92,7 +103,7 @@
     StorePosition m_position{ 1, 2 };
     std::vector<FollowedRow> m_rows{ { "a", "a", false, 1 },
                                      { "b", "b", false, 2 } };
-    /** As it was before the last change. */
+    /** The rows as they were before the last change. */
     std::vector<FollowedRow> m_copy = m_rows;
 
     void Change();
@@ -105,7 +116,7 @@
     bool m_whole = false;
     bool m_lost = false;
     StorePosition m_after;
-    int m_answersAt = 0; ///< At the earliest.
+    int m_answersAt = 0; ///< Earliest time of the answer.
     int m_heldUntil = 0;
     int m_failsAt = 0;
   };
@@ -119,9 +130,11 @@
     bool m_ignored = false;
     bool m_onDuty = true;
     bool m_onDutyByPlace = true;
-    bool m_hearsPeers = true; ///< It has been told that there are any.
+    /** True once the instance has been told that there are peers. */
+    bool m_hearsPeers = true;
     bool m_rests = false;
-    /** When it last learned from the store or a peer what there is. */
+    /** Time when the instance last received an answer from the store or a peer.
+     */
     int m_provenAt = 0;
   };
 
@@ -149,7 +162,9 @@
   void Restart(std::size_t aWho);
   void CheckSaysWhenLost(std::size_t aWho);
   bool HasNext(const Instance& aInstance) const;
-  /** When an instance on duty finds out that the store does not answer it. */
+  /**
+   * Returns when a polling instance notices that the store does not answer it.
+   */
   int NoticesAt(const Instance& aInstance) const;
 
   std::array<Instance, kInstances> m_instances;
@@ -157,8 +172,11 @@
   Budget m_budget;
   int m_now = 0;
   int m_wordsLostUntil = 0;
-  /** Nothing has told the two on duty apart: what may happen to the second one
-   * is the same as to the first. */
+  /**
+   * True while no event has made a difference between the two pollers. Events
+   * that concern the second one then lead to the same states as those that
+   * concern the first.
+   */
   bool m_alike = true;
   std::string m_fault;
 };
--- a/packages/relay/tests/FreshnessModelTest.cpp
+++ b/packages/relay/tests/FreshnessModelTest.cpp
@@ -1,7 +1,8 @@
-// All states that a few faults bring three followers into, enumerated: from
-// each of them a change is in force everywhere within two seconds, once the
-// faults keep nobody from reading any more; what is held never goes back;
-// nobody waits for nothing; and who has lost the store says so.
+// Enumerates all states that a few faults bring three followers into, and
+// checks in each of them: a change is in force everywhere within two seconds
+// once the faults no longer keep the instances from reading; the position of a
+// table never goes back; every instance waits for some event; and an instance
+// that has lost the store reports it.
 
 #include "FreshnessModel.h"
 
@@ -14,17 +15,17 @@
 namespace ridgeferry::relay {
 namespace {
 
-/** An accepted change is in force within two seconds. */
+/** An accepted change must be in force within this time. */
 constexpr int kInForceMs = 2000;
 
-/** A happening, and the one before it. */
+/** An event, and the link of the event before it. */
 struct Link
 {
   std::size_t m_before = 0;
   Happening m_happening;
 };
 
-/** A state, and how it was reached, for the report of a fault. */
+/** A state, and the path to it for the report of a fault. */
 struct Node
 {
   FreshnessModel m_model;
@@ -37,16 +38,16 @@
   constexpr std::array kNames = {
     "nothing",
     "a change",
-    "store silent",
-    "store refuses",
-    "store back",
-    "store older",
-    "words lost",
+    "store does not respond",
+    "store refuses calls",
+    "store available again",
+    "store restored from an older copy",
+    "messages lost",
     "read lost",
     "ignored",
     "heeded",
     "question to a peer fails",
-    "starts with nothing",
+    "restarts without data",
   };
   return kNames[static_cast<std::size_t>(aWhat)];
 }
@@ -60,7 +61,7 @@
   {
   }
 
-  /** Visits all states; stops at the first fault. */
+  /** Visits all states. Stops at the first fault. */
   void Run()
   {
     while (!m_open.empty() && m_fault.empty()) {
@@ -86,7 +87,7 @@
     }
     next.m_link = m_links.size();
     m_links.push_back({ aFrom.m_link, aChoice });
-    Check(next, next.m_model, "as it is");
+    Check(next, next.m_model, "without a further change");
     if (next.m_model.IsServingAny()) {
       FreshnessModel changed = next.m_model;
       changed.Apply({ Happens::Change });
@@ -95,7 +96,9 @@
     m_open.push_back(std::move(next));
   }
 
-  /** Nothing more happens: all are fresh soon. */
+  /**
+   * Checks that all instances are up to date soon if no further event happens.
+   */
   void Check(const Node& aNode, const FreshnessModel& aModel, const char* aWhat)
   {
     if (!aModel.Fault().empty()) {
@@ -117,7 +120,9 @@
     if (!aModel.Fault().empty()) {
       Note(aNode, aModel, aModel.Fault());
     } else if (!aModel.AllAreFresh()) {
-      Note(aNode, aModel, std::string("not fresh in time ") + aWhat);
+      Note(aNode,
+           aModel,
+           std::string("instances not up to date in time ") + aWhat);
     }
   }
 
@@ -149,13 +154,16 @@
     return out + std::to_string(at) + " ms";
   }
 
-  std::vector<Link> m_links; ///< The first one is the beginning.
+  std::vector<Link> m_links; ///< The first link is the initial state.
   std::vector<Node> m_open;
   std::unordered_set<std::uint64_t> m_seen;
   std::string m_fault;
 };
 
-/** RIDGEFERRY_MODEL_FAULTS: of more than the usual number. */
+/**
+ * Returns the value of RIDGEFERRY_MODEL_FAULTS, the number of faults to
+ * combine, or the usual number if it is not set.
+ */
 int
 MostFaults()
 {
--- a/packages/relay/tests/GoneUpstreamsTest.cpp
+++ b/packages/relay/tests/GoneUpstreamsTest.cpp
@@ -22,7 +22,7 @@
   return out;
 }
 
-/** Who has gone, and whose row a copy has. */
+/** An upstream that was removed, and a row that a restored copy contains. */
 struct CopyCase
 {
   const char* m_name;
@@ -78,8 +78,8 @@
   EXPECT_FALSE(m_gone.HoldBack(Listed(kBorn), At(GoneUpstreams::kHold)));
 }
 
-// A second copy does not begin the hold anew, nor do many in a row keep an
-// upstream out for ever.
+// Guards against an upstream that is held back for ever: a second copy must not
+// restart the hold time, so neither must many copies in a row.
 TEST_F(HeldBackTest, AnotherCopyRenewsNothing)
 {
   EXPECT_TRUE(m_gone.HoldBack(Listed(kBorn), At(Duration{ 4000 })));
--- a/packages/relay/tests/LapseGraceTest.cpp
+++ b/packages/relay/tests/LapseGraceTest.cpp
@@ -1,5 +1,6 @@
-// Instances that follow a list through outages, cuts, freezes and lost words,
-// in virtual time: when an upstream whose row was removed may still get work.
+// Simulates instances that follow a list through outages, network cuts, frozen
+// processes and lost messages, in virtual time. Checks when an upstream whose
+// row was removed may still get calls.
 
 #include "CheckSeed.h"
 
@@ -17,16 +18,21 @@
 constexpr int kStepMs = 100;
 constexpr int kEndMs = 30'000;
 constexpr int kInstances = 3;
-/** A row that was not renewed for so long is dropped by the store; it is back
- * within two seconds of the store's return. */
+/**
+ * The store drops a row that was not renewed for this time. The row is back
+ * within two seconds of the store's return.
+ */
 constexpr int kLapseMs = 3600;
 constexpr int kBackMs = 2000;
-/** When what is gone binds again after the store's return. */
+/** Removals are final again this long after the store's return. */
 constexpr int kBindsMs = 3000;
-/** A peer whose reads succeed counts as heard for so long. */
+/**
+ * A peer whose reads succeed counts as heard for this time after its last
+ * message.
+ */
 constexpr int kHeardMs = 300;
 
-/** `aWhat`: the promise, for the report. */
+/** `aWhat` is the condition, for the failure report. */
 void
 Must(bool aHolds, const std::string& aWhat)
 {
@@ -42,7 +48,7 @@
   bool Has(int aAt) const { return aAt >= m_from && aAt < m_to; }
 };
 
-/** A span somewhere in the run, or none. */
+/** Draws a time span somewhere in the run, or an empty one. */
 Span
 AnySpan(int aLongest)
 {
@@ -59,11 +65,13 @@
   std::optional<Duration> m_readsFor;
 };
 
-/** Of no instance here: nobody can speak for its upstreams. */
+/** Data centre of no instance here: no instance can report on its upstreams. */
 constexpr int kNoHall = -1;
 
-/** It has ended long enough for rows to be back and graces to be over, or has
- * not begun, or there is none. */
+/**
+ * Returns whether the span has not begun or is empty, or has ended long enough
+ * ago for rows to be back and grace periods to be over.
+ */
 bool
 IsOver(const Span& aSpan, int aAt)
 {
@@ -75,7 +83,7 @@
 class StoreRow
 {
 public:
-  /** `aCut`: the upstream's hall is cut off from the store. */
+  /** `aCut`: when the upstream's data centre is cut off from the store. */
   StoreRow(Span aOutage,
            Span aCut,
            std::optional<int> aLeavesAt,
@@ -111,8 +119,11 @@
 class Follower
 {
 public:
-  /** `aTurnedAway`: by the store, alone. `aCut`: with its hall, also from the
-   * other instances. `aRowsHall`: of the upstream that is followed. */
+  /**
+   * `aTurnedAway`: when the store rejects this instance alone. `aCut`: when the
+   * instance's whole data centre is cut off, also from the other instances.
+   * `aRowsHall`: data centre of the upstream that is followed.
+   */
   Follower(Span aTurnedAway, Span aCut, Span aFrozen, int aRowsHall = kNoHall)
     : m_turnedAway(aTurnedAway)
     , m_cut(aCut)
@@ -125,7 +136,9 @@
 
   bool IsFrozen(int aAt) const { return m_frozen.Has(aAt); }
   bool WasFrozen() const { return m_frozen.m_to > m_frozen.m_from; }
-  /** Its reads failed at some moment of a span of time. */
+  /**
+   * Returns whether the instance's reads failed at some moment of a time span.
+   */
   bool WasCut(Span aWhen) const
   {
     const auto overlaps = [&](const Span& aSpan) {
@@ -168,7 +181,10 @@
 
   bool GivesWork(int aAt) const { return !m_gone || At(aAt) < *m_gone; }
   bool HasReadRemoval() const { return m_gone.has_value(); }
-  /** Neither now nor shortly before anything kept it from the store. */
+  /**
+   * Returns whether nothing keeps the instance from the store, now or shortly
+   * before.
+   */
   bool IsCalm(int aAt) const
   {
     return IsOver(m_turnedAway, aAt) && IsOver(m_frozen, aAt);
@@ -177,7 +193,10 @@
 private:
   static Instant At(int aMs) { return Instant{ Duration{ aMs } }; }
 
-  /** When a grace ends by what the instances of the upstream's hall say. */
+  /**
+   * Returns when a grace period ends, considering what the instances in the
+   * upstream's data centre report.
+   */
   Instant Bounded(std::optional<Instant> aUntil, int aAt) const
   {
     const bool isFresh = aAt - m_hallHeardAt <= kHeardMs;
@@ -228,8 +247,11 @@
   std::optional<int> m_heardAt;
 };
 
-/** Each carries out a step and tells those that it reaches; one word of five is
- * lost. `aCheck` is called after each step. */
+/**
+ * In each step, every instance reads and sends a message to each instance that
+ * it can reach. One message in five is lost. `aCheck` is called after each
+ * step.
+ */
 template<typename Check>
 void
 Play(std::vector<Follower>& aAll, const StoreRow& aStore, Check aCheck)
@@ -241,7 +263,7 @@
       }
       one.Step(aStore, at);
       for (Follower& other : aAll) {
-        // Small cases draw small numbers: those lose nothing.
+        // Shrinking draws small numbers, so small cases lose no messages.
         const bool lost = *rc::gen::inRange(0, 5) == 4;
         if (&other != &one && !lost && !one.IsCut(at) && !other.IsCut(at)) {
           const auto hall = static_cast<int>(&one - aAll.data());
@@ -257,7 +279,7 @@
 PlayGraces()
 {
   const Span outage = AnySpan(9000);
-  const Span cut = AnySpan(9000); // Of the first one's hall.
+  const Span cut = AnySpan(9000); // Cut of the first instance's data centre.
   const bool leaves = *rc::gen::inRange(0, 2) == 0;
   const StoreRow store(outage,
                        cut,
@@ -269,7 +291,7 @@
   for (int i = 0; i < kInstances; ++i) {
     all.emplace_back(AnySpan(9000), i == 0 ? cut : Span{}, AnySpan(6000), 0);
   }
-  // Neither begins before the other is over.
+  // Neither span begins before the other one is over.
   const bool apart = IsOver(outage, cut.m_from) && IsOver(cut, outage.m_from);
   Play(all, store, [&](const Follower& aOne, int aAt) {
     const bool calm =
@@ -278,16 +300,18 @@
         return aItem.IsCalm(aAt);
       });
     if (store.HasLeft(aAt) && aOne.HasReadRemoval() && calm) {
-      Must(!aOne.GivesWork(aAt), "what left gets nothing in calm times");
+      Must(!aOne.GivesWork(aAt),
+           "an upstream that has left gets no calls when all reads work");
     }
-    // The one in the upstream's hall reaches it all the time. Its row may be
-    // away while the hall is cut off, and is read again after that.
+    // The instance in the upstream's data centre can reach the upstream all the
+    // time. The row may be missing while the data centre is cut off, and is
+    // read again after that.
     const Span back{ outage.m_to, outage.m_to + kBindsMs };
     const Span joined{ cut.m_to, cut.m_to + kBindsMs };
     const bool canRead = !aOne.WasCut(back) && !aOne.WasTurnedAwayIn(joined);
     if (!store.HasLeft(aAt) && &aOne == &all.front() && apart && canRead &&
         !aOne.WasFrozen()) {
-      Must(aOne.GivesWork(aAt), "what is sound is used");
+      Must(aOne.GivesWork(aAt), "a sound upstream is used");
     }
   });
 }
@@ -305,19 +329,20 @@
   EXPECT_TRUE(CheckSeed(GetParam(), PlayGraces));
 }
 
-// An outage that began 1.6 s after the end of a cut: the instance could not
-// read the row that had just come back.
+// Seeds in which an outage began 1.6 s after the end of a cut, so that the
+// instance could not read the row that had just come back.
 INSTANTIATE_TEST_SUITE_P(CutAndOutageCloseTogether,
                          GraceSeedTest,
                          ::testing::Values(KeptSeed{ 5, 300 },
                                            KeptSeed{ 6, 5000 },
                                            KeptSeed{ 7, 5000 }));
 
-// The store turns one away and serves all others: what it reads as removed when
-// it is served again has left, and gets nothing more.
+// Guards against a grace period for an instance that only the store rejects,
+// while the store serves all others. What such an instance reads as removed
+// when it is served again has left and must get no more calls.
 TEST(LapseGraceWorldTest, OneThatAloneIsTurnedAwayGrantsNothing)
 {
-  EXPECT_TRUE(rc::check("turned away", [] {
+  EXPECT_TRUE(rc::check("rejected by the store", [] {
     constexpr int kSettledMs = 5000;
     const int from = *rc::gen::inRange(kSettledMs, kEndMs / 2);
     const Span away{ from, from + *rc::gen::inRange(kStepMs, 9000) };
@@ -330,28 +355,26 @@
     }
     Play(all, store, [&](const Follower& aOne, int aAt) {
       if (aOne.HasReadRemoval()) {
-        Must(!aOne.GivesWork(aAt), "what left gets nothing");
+        Must(!aOne.GivesWork(aAt), "an upstream that has left gets no calls");
       }
     });
   }));
 }
 
-// Seen: a data centre was cut off while upstreams elsewhere were replaced; 3 s
-// after its return one of its instances sent a call to an upstream that had
-// left 2.8 s before. How: the first list behind the cut lacked the row, and
-// each missing row was taken for one that had lapsed, for 2.3 s from then on.
-// Cause: the grace was a guess by time alone; the instances of the upstream's
-// own data centre had read the store all the while, so its upstreams could
-// renew their rows. Shown by: this world, and lines that gave a grace to the
-// removal.
+// Guards against calls to an upstream that has left, after a cut of another
+// data centre. An instance there was found sending a call 3 s after its return
+// to an upstream that had left 2.8 s before. The first list read after the cut
+// lacked the row, and every missing row counted as expired for 2.3 s, a guess
+// by time alone. But instances in the upstream's own data centre had read the
+// store throughout, so its upstreams could renew their rows.
 TEST(LapseGraceWorldTest, ACutElsewhereMakesNoRowLapse)
 {
-  EXPECT_TRUE(rc::check("cut elsewhere", [] {
+  EXPECT_TRUE(rc::check("cut of another data centre", [] {
     constexpr int kSettledMs = 5000;
     const int from = *rc::gen::inRange(kSettledMs, kEndMs / 2);
     const Span cut{ from, from + *rc::gen::inRange(kStepMs, 9000) };
     const int leavesAt = *rc::gen::inRange(from, kEndMs);
-    // The upstream is of the second one's data centre.
+    // The upstream is in the second instance's data centre.
     const StoreRow store({}, {}, leavesAt, 0);
     std::vector<Follower> all;
     all.reserve(kInstances);
@@ -359,10 +382,10 @@
       all.emplace_back(Span{}, i == 0 ? cut : Span{}, Span{}, 1);
     }
     Play(all, store, [&](const Follower& aOne, int aAt) {
-      // Words of a second were lost with the chance of one in 10^7.
+      // The probability that all messages of a second are lost is 1 in 10^7.
       const bool hasHeard = aAt >= cut.m_to + 1000;
       if (aOne.HasReadRemoval() && hasHeard) {
-        Must(!aOne.GivesWork(aAt), "what left gets nothing");
+        Must(!aOne.GivesWork(aAt), "an upstream that has left gets no calls");
       }
     });
   }));
--- a/packages/relay/tests/LeavingNewsTest.cpp
+++ b/packages/relay/tests/LeavingNewsTest.cpp
@@ -8,10 +8,12 @@
 enum class Said
 {
   ByList,
-  ByPeer, ///< Of an upstream that is listed here.
+  /** A peer announces an upstream that is listed here. */
+  ByPeer,
   ByPeerWithoutBirth,
   ByPeerOfAnotherLife,
-  ByPeerUnlisted, ///< Of one that is not, or no longer.
+  /** A peer announces an upstream that is not listed here, or no longer. */
+  ByPeerUnlisted,
   Gone,
 };
 
--- a/packages/relay/tests/Positions.h
+++ b/packages/relay/tests/Positions.h
@@ -4,10 +4,10 @@
 
 namespace ridgeferry::relay {
 
-/** Generation of the store in tests that have one only. */
+/** Generation of the store in tests that use only one. */
 constexpr StoreGeneration kOnlyGeneration = 1;
 
-/** A version of that generation. */
+/** Returns the position of a version in `kOnlyGeneration`. */
 constexpr StorePosition
 PositionAt(std::uint64_t aVersion)
 {
--- a/packages/relay/tests/StoreCopyWorldTest.cpp
+++ b/packages/relay/tests/StoreCopyWorldTest.cpp
@@ -1,6 +1,7 @@
-// Followers before a store that comes back from older copies, in virtual time:
-// each meets the next generation at another moment, words and answers are lost
-// or late, and what others wrote is written again some time after.
+// Simulates followers of a store that is restored from older copies, in virtual
+// time. Each follower meets the next generation at a different moment, messages
+// and answers are lost or late, and rows that the restored copy lacks are
+// written again some time later.
 
 #include "Positions.h"
 
@@ -16,14 +17,17 @@
 
 constexpr int kNever = std::numeric_limits<int>::max();
 
-/** How the store behaves before it is back. */
+/** How the store behaves while it is unavailable. */
 enum class Away
 {
-  Resets, ///< Reads that it held, and those that come, fail at once.
-  Silent, ///< They are never answered.
+  /** Reads that the store holds and reads that arrive fail at once. */
+  Resets,
+  Silent, ///< Reads are never answered.
 };
 
-/** The configuration's row, whose value only rises, and rows that come and go.
+/**
+ * `kRising` is the row of the configuration, whose value only rises. The
+ * `kOthers` other rows are added and removed.
  */
 constexpr const char* kRising = "c";
 constexpr int kOthers = 4;
@@ -51,9 +55,9 @@
   static constexpr int kStepMs = 5;
   static constexpr int kWordMs = 70;
   static constexpr int kTickMs = 200;
-  /** Longest way of an answer. */
+  /** Longest time that a read or an answer takes to arrive, in milliseconds. */
   static constexpr int kMostLateMs = 100;
-  /** One word or peer's answer of so many is lost. */
+  /** One in this number of messages and of peers' answers is lost. */
   static constexpr int kLosesOneOf = 4;
 
   World(std::size_t aCount, Away aHow, unsigned aSeed)
@@ -74,7 +78,9 @@
 
   void KeepCopy() { m_copy = m_store; }
 
-  /** Someone writes, and will write it again should it be lost. */
+  /**
+   * Some client writes a row, and will write it again if the store loses it.
+   */
   void Change()
   {
     ++m_value;
@@ -93,7 +99,7 @@
   {
     m_isAway = true;
     for (Node& node : m_nodes) {
-      Lose(node.m_read); // Whatever it held, it holds no more.
+      Lose(node.m_read); // The store no longer holds any read.
     }
   }
 
@@ -106,7 +112,7 @@
     m_store.Replace(rows.m_rows, { next, m_copy.Position().m_version });
   }
 
-  /** Whoever wrote something that is not there writes it again. */
+  /** The clients write again the rows that the store has lost. */
   void WriteAgain()
   {
     for (const auto& [key, value] : m_written) {
@@ -135,7 +141,10 @@
                aNode.m_rows == Rows(m_store);
       });
   }
-  /** What nobody may see: the rising row fell, or a position did. */
+  /**
+   * Returns whether the rising row's value and the positions of all followers
+   * have never fallen.
+   */
   bool NothingFell() const { return m_nothingFell; }
 
 private:
@@ -146,7 +155,10 @@
   {
     bool m_isWhole = false;
     StorePosition m_after = {};
-    bool m_isHeld = false; ///< By the store, until it has something to say.
+    /**
+     * True while the store holds the read, until it has something to answer.
+     */
+    bool m_isHeld = false;
     int m_arrivesAt = kNever;
     int m_heldUntil = kNever;
     int m_failsAt = kNever;
@@ -162,7 +174,7 @@
     int m_peerAt = kNever;
     StorePosition m_askedAfter;
     bool m_lost = false;
-    Values m_rows; ///< As it was told.
+    Values m_rows; ///< The rows as the follower reported them.
     StorePosition m_position;
   };
 
@@ -274,7 +286,8 @@
     if (m_now % kWordMs == static_cast<int>(aWho) * kStepMs) {
       TellOthers(aWho);
     }
-    // Another call of its, now and then, tells the generation.
+    // Now and then, another call of the instance to the store reveals the
+    // generation.
     if (!m_isAway && Draw(400) == 0) {
       Take(aWho, GenerationSeen{ m_store.Position().m_generation });
     }
@@ -336,7 +349,7 @@
     }
   }
 
-  /** The store drops what it holds. */
+  /** The store drops a read that it holds. */
   void Lose(Read& aRead) const
   {
     if (std::exchange(aRead.m_isHeld, false) && m_how == Away::Resets) {
@@ -344,7 +357,10 @@
     }
   }
 
-  /** As the store does: it knows versions, not of which generation they are. */
+  /**
+   * Answers as the store does: it compares versions without knowing which
+   * generation the reader's version belongs to.
+   */
   void Answer(Read& aRead)
   {
     const StorePosition now = m_store.Position();
@@ -370,21 +386,27 @@
   FollowedTable m_store;
   FollowedTable m_copy;
   bool m_isAway = false;
-  Values m_written; ///< By others; an empty value: they removed it.
+  /** Rows written by clients. An empty value means that the row was removed. */
+  Values m_written;
   int m_value = 1;
   int m_now = 0;
   bool m_nothingFell = true;
 };
 
-/** An accepted change is in force within two seconds; half of one is left for
- * what reads the rows and for slow instances. */
+/**
+ * An accepted change must be in force within two seconds. Half a second of it
+ * is reserved for the code that uses the rows and for slow instances.
+ */
 constexpr int kInForceMs = 1500;
-/** What was accepted before that is in force by three seconds after the store's
- * return, less the slack of above. A store whose counter is back at the very
- * version that was read holds the next read for as long as it may, as it cannot
- * tell that it is of another history. */
+/**
+ * Changes accepted before the outage must be in force three seconds after the
+ * store's return, less a margin as above. If the store's counter is back at the
+ * very version that an instance has read, the store holds that instance's next
+ * read for the full time, because it cannot tell that the version belongs to
+ * another generation.
+ */
 constexpr int kBehindReturnMs = 2700;
-/** Longest time until a held read that got lost counts as failed. */
+/** Longest time until a held read that was lost counts as failed. */
 constexpr int kHeldReadMs = static_cast<int>(
   (TableFollower::kDutyWait + TableFollower::kStoreSlack).count());
 
@@ -403,14 +425,15 @@
           world.KeepCopy();
         }
       }
-      // For a moment at least, so no call on its way reaches both lives of it.
+      // The outage lasts long enough that no call on its way reaches the store
+      // both before and after it.
       awayMs = *rc::gen::inRange(2 * World::kMostLateMs, 4000);
       world.GoAway();
       world.Play(awayMs);
       world.ComeBackFromCopy();
       RC_ASSERT(world.NothingFell());
     }
-    // What the others wrote is written again, and one change more.
+    // The clients write again the rows that were lost, and one more change.
     const int rewrittenMs = *rc::gen::inRange(0, 500);
     world.Play(rewrittenMs);
     world.WriteAgain();
--- a/packages/relay/tests/StoreGenerationTest.cpp
+++ b/packages/relay/tests/StoreGenerationTest.cpp
@@ -1,4 +1,4 @@
-// Followers of a store that comes back from an older copy.
+// Followers of a store that was restored from an older copy.
 
 #include "Positions.h"
 
@@ -9,7 +9,8 @@
 namespace ridgeferry::relay {
 namespace {
 
-// A number is no position: what compares one with another does not compile.
+// A number must not convert to a position, so that code that compares the two
+// does not compile.
 static_assert(!std::is_convertible_v<std::uint64_t, StorePosition>);
 
 template<typename Action>
@@ -56,10 +57,13 @@
 {
   OnDuty,
   Resting,
-  Lost, ///< Its reads fail.
+  Lost, ///< The instance's reads fail.
 };
 
-/** How the next generation shows to a follower, and what it does first. */
+/**
+ * The event by which a follower learns of the next generation, and its first
+ * reaction.
+ */
 struct SightCase
 {
   const char* m_name;
@@ -77,7 +81,8 @@
     Handle(TableRead{ { { "a", "1", false, 50 } }, kHeld });
     if (GetParam().m_state == State::Resting) {
       Handle(DutyChanged{ false, false });
-      Handle(ChangesRead{ {}, kHeld }); // The read that was under way.
+      // Answer to the read that was under way.
+      Handle(ChangesRead{ {}, kHeld });
     }
     if (GetParam().m_state == State::Lost) {
       Handle(ReadFailed{ "away" });
@@ -98,9 +103,11 @@
   EXPECT_EQ(Find<ReadTable>(actions) != nullptr, GetParam().m_readsTable);
   EXPECT_EQ(Find<AskPeer>(actions) != nullptr, GetParam().m_asksPeer);
   EXPECT_EQ(m_follower.Generation(), kNext);
-  // Nothing is known of it yet: what is told is what was read before.
+  // No row of the new generation is known yet, so the position is still the
+  // previous one.
   EXPECT_EQ(m_follower.Position(), kHeld);
-  EXPECT_TRUE(Handle(GenerationSeen{ kNext }, 11).empty()); // Once.
+  // Only the first sign of a generation counts.
+  EXPECT_TRUE(Handle(GenerationSeen{ kNext }, 11).empty());
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -165,19 +172,20 @@
   ASSERT_EQ(apply->m_rows.size(), 2U);
   EXPECT_EQ(apply->m_rows[0].m_value, "1");
   EXPECT_TRUE(apply->m_rows[1].m_removed);
-  // It may come back, though no read ever failed.
+  // The row may come back, although no read has failed.
   EXPECT_EQ(apply->m_lapsesUntil,
             Instant{ Duration{ 10 } + LapseGrace::kLapseTime });
   EXPECT_EQ(m_follower.Position(), kOfCopy);
   EXPECT_EQ(m_follower.ChangedPosition(), (StorePosition{ kNext, 20 }));
-  // The next changes are changes.
+  // Later changes are ordinary changes again.
   const auto later =
     Handle(ChangesRead{ { { "b", "1", false, 31 } }, { kNext, 31 } }, 30);
   ASSERT_NE(Find<ApplyRows>(later), nullptr);
   EXPECT_FALSE(Find<ApplyRows>(later)->m_copyAfter.has_value());
 }
 
-// Answers and slices that were made before the store went away arrive after.
+// Guards against data of the previous generation: answers and slices that were
+// made before the store went away may arrive after its return.
 TEST_F(OlderCopyTest, NothingOfTheGenerationBeforeIsTaken)
 {
   Handle(TableRead{ {}, kHeld });
@@ -195,9 +203,10 @@
   EXPECT_TRUE(Handle(PeerIsAhead{ late }).empty());
 }
 
-// Asked for by one whose reads fail, and answered when a peer had told it of
-// the present generation: what that has below the version asked after is
-// missing.
+// Guards against an incomplete table. The changes were requested by an instance
+// whose reads fail, and were answered after a peer had delivered the present
+// generation. The answer lacks the changes of that generation below the version
+// that the request named.
 TEST_F(OlderCopyTest, ChangesAskedOfTheOneBeforeAreNotAllThereAre)
 {
   Handle(TableRead{ {}, kHeld });
@@ -213,8 +222,9 @@
   EXPECT_EQ(Find<ReadChanges>(actions)->m_after, kOfCopy);
 }
 
-// One that has just left duty has a held read under way, which went with the
-// store's life before: it does not keep it from asking.
+// Guards against waiting for a read that was lost with the previous generation.
+// An instance that has just stopped polling still has a held read under way;
+// that read must not keep it from asking.
 TEST_F(OlderCopyTest, AReadUnderWayIsGivenUp)
 {
   Handle(TableRead{ {}, kHeld });
@@ -236,7 +246,8 @@
   const auto taken = Handle(PeerAnswered{ slice }, 20);
   ASSERT_NE(Find<ApplyRows>(taken), nullptr);
   EXPECT_EQ(Find<ApplyRows>(taken)->m_copyAfter, kHeld);
-  EXPECT_EQ(Find<ReadTable>(taken), nullptr); // It rests again.
+  // The instance goes back on standby.
+  EXPECT_EQ(Find<ReadTable>(taken), nullptr);
 }
 
 TEST_F(OlderCopyTest, OneAtRestReadsItIfNoPeerHasIt)
@@ -246,15 +257,15 @@
   const auto asks = Handle(GenerationSeen{ kNext }, 10);
   ASSERT_NE(Find<RetryLater>(asks), nullptr);
   EXPECT_EQ(Find<RetryLater>(asks)->m_delay, TableFollower::kAskPatience);
-  EXPECT_NE(Find<AskPeer>(Handle(PeerFailed{}, 200)), nullptr); // Another one.
+  EXPECT_NE(Find<AskPeer>(Handle(PeerFailed{}, 200)), nullptr); // Another peer.
   EXPECT_NE(Find<ReadTable>(Handle(RetryDue{}, 810)), nullptr);
 }
 
-// Seen: behind a store that had come back from a copy and did not answer one
-// instance, that one served by the rows from before for 2.5 s and more.
-// How: on duty it asked the store for the whole table, and no peer as long as
-// that read was under way.
-// Shown by: all states that two faults lead to (`FreshnessModelTest`).
+// Guards against an instance that serves outdated rows because the store,
+// restored from a copy, does not answer it. A poller asked the store for the
+// whole table, and asked no peer while that read was under way, which took 2.5
+// s or more. Found by enumerating all states that two faults lead to
+// (`FreshnessModelTest`).
 TEST_F(OlderCopyTest, OneThatTheStoreDoesNotAnswerTakesItFromAPeer)
 {
   constexpr int kBehind =
@@ -262,25 +273,30 @@
   Handle(TableRead{ { { "a", "2", false, 50 } }, kHeld });
   const auto seen = Handle(PeerIsAhead{ kOfCopy }, 10);
   EXPECT_NE(Find<ReadTable>(seen), nullptr);
-  // The store mostly answers within that time, and has no need of a peer.
+  // The store usually answers within that time, so no peer is needed.
   EXPECT_TRUE(Handle(PeerIsAhead{ kOfCopy }, 110).empty());
   EXPECT_TRUE(Handle(PeerIsAhead{ kOfCopy }, 109 + kBehind).empty());
   const auto asks = Handle(PeerIsAhead{ kOfCopy }, 110 + kBehind);
   EXPECT_NE(Find<AskPeer>(asks), nullptr);
-  EXPECT_EQ(Find<DropRead>(asks), nullptr); // It may still be answered.
+  // The store may still answer the read.
+  EXPECT_EQ(Find<DropRead>(asks), nullptr);
   const TableSlice slice{ kOfCopy, true, { { "a", "1", false, 20 } } };
   EXPECT_NE(Find<ApplyRows>(Handle(PeerAnswered{ slice }, 700)), nullptr);
   EXPECT_EQ(m_follower.Position(), kOfCopy);
 }
 
-/** A row that was known, what the copy says, and what is told then. */
+/**
+ * A known row, the row in a restored copy, and the rows that are reported then.
+ */
 struct KeptCase
 {
   const char* m_name;
-  std::optional<std::string> m_copy; ///< Nothing: it has none.
+  /** std::nullopt if the copy has no such row. */
+  std::optional<std::string> m_copy;
   StorePosition m_position;
-  std::size_t m_told; ///< Rows that differ.
-  std::string m_kept; ///< What a peer is told of it afterwards; empty: nothing.
+  std::size_t m_told; ///< Number of rows reported as different.
+  /** The value that a peer gets afterwards; empty if it gets no row. */
+  std::string m_kept;
 };
 
 class KeptRowTest : public ::testing::TestWithParam<KeptCase>
@@ -311,7 +327,7 @@
                     KeptCase{ "Missing", std::nullopt, kOfCopy, 0, "5" },
                     KeptCase{ "TheSame", "5", kOfCopy, 0, "5" },
                     KeptCase{ "Newer", "6", kOfCopy, 1, "6" },
-                    // A peer that read the copy only, and a change since.
+                    // A peer has read only the copy and a later change.
                     KeptCase{ "OlderAtAPeer", "4", PositionAt(60), 0, "5" },
                     KeptCase{ "NewerAtAPeer", "6", PositionAt(60), 1, "6" }),
   [](const auto& aInfo) { return std::string(aInfo.param.m_name); });
--- a/packages/relay/tests/StoreReturnTest.cpp
+++ b/packages/relay/tests/StoreReturnTest.cpp
@@ -1,11 +1,9 @@
-// Seen: behind an outage in which the store had kept connections open and
-// answered nothing, a change was in force 2.2 s after it had been acknowledged,
-// at all instances but the few whose reads happened to fail early.
-// How: each read that the outage swallowed was waited for as long as one that
-// the store holds in calm times, 2.8 s, and the next one came up to 0.6 s
-// later; in that pause no peer's word was acted on.
-// Shown by: the instances' lines. All first answers lay whole periods of failed
-// reads apart, and 2.5 s after the first write that the store had answered.
+// Guards against late changes after an outage in which the store kept
+// connections open and answered nothing. A change was in force 2.2 s after the
+// store had acknowledged it, at all instances but the few whose reads happened
+// to fail early. Each read that the outage swallowed was waited for as long as
+// a held read in normal operation, 2.8 s. The next read came up to 0.6 s later,
+// and in that pause no peer's report was acted on.
 
 #include "Positions.h"
 
@@ -17,10 +15,10 @@
 namespace ridgeferry::relay {
 namespace {
 
-/** What the store did while it was away. */
+/** How the store behaves during the outage. */
 enum class Away
 {
-  Silent, ///< It takes calls and says nothing.
+  Silent, ///< The store accepts calls and does not respond.
   Refuses,
 };
 
@@ -32,19 +30,25 @@
   bool Has(int aAt) const { return aAt >= m_from && aAt < m_to; }
 };
 
-/** Followers before one store, step by step in milliseconds. The first ones are
- * on duty; the others as long as they hear of none whose reads succeed. */
+/**
+ * Followers of one store, simulated in steps of a millisecond. The first ones
+ * are pollers; the others poll as long as they hear from no poller whose reads
+ * succeed.
+ */
 class World
 {
 public:
   static constexpr std::size_t kOnDuty = 2;
   static constexpr int kAnswerMs = 5;
-  /** Between two words of an instance to all others. */
+  /** Time between two messages of an instance to all others. */
   static constexpr int kWordMs = 70;
-  /** Between two looks at who is on duty. */
+  /** Time between two checks of which instances poll. */
   static constexpr int kTickMs = 200;
 
-  /** `aTurnedAway`: instances that the outage hits; all others are served. */
+  /**
+   * `aTurnedAway`: number of instances that the outage affects. All others are
+   * served.
+   */
   World(std::size_t aCount, Outage aOutage, std::size_t aTurnedAway)
     : m_nodes(aCount)
     , m_outage(aOutage)
@@ -58,7 +62,7 @@
 
   void ChangeAt(int aAt) { m_changeAt = aAt; }
 
-  /** Plays up to a moment. */
+  /** Plays up to a moment, in milliseconds. */
   void Play(int aUntil)
   {
     for (; m_now < aUntil; ++m_now) {
@@ -84,12 +88,13 @@
   {
     TableFollower m_follower;
     int m_dueAt = kNever;
-    // A read of the store that is under way.
+    // State of the read that is under way.
     int m_sentAt = kNever;
     int m_failsAt = kNever;
     int m_heldUntil = kNever;
     StorePosition m_after;
-    int m_peerAt = kNever; ///< When the peer that is asked answers.
+    /** Time when the peer that was asked answers. */
+    int m_peerAt = kNever;
     bool m_lost = false;
     bool m_onDuty = true;
   };
@@ -179,8 +184,10 @@
     Take(aWho, PeerFailed{});
   }
 
-  /** A call that met the outage at its start or while it was held gets no
-   * answer any more. */
+  /**
+   * Advances the read that is under way. A read that meets the outage when it
+   * is sent or while it is held is never answered.
+   */
   void StepRead(std::size_t aWho)
   {
     Node& node = m_nodes[aWho];
@@ -230,8 +237,10 @@
   std::size_t m_reads = 0;
 };
 
-/** An accepted change is in force within two seconds; half of one is left for
- * what reads the rows and for slow instances. */
+/**
+ * An accepted change must be in force within two seconds. Half a second of it
+ * is reserved for the code that uses the rows and for slow instances.
+ */
 constexpr int kInForceMs = 1500;
 
 /** Longest time until a held read counts as failed. */
@@ -242,14 +251,15 @@
 {
   const char* m_name;
   std::size_t m_instances;
-  std::size_t m_turnedAway; ///< Of these, the first ones.
+  /** Number of instances that the outage affects; they are the first ones. */
+  std::size_t m_turnedAway;
   Outage m_outage;
 };
 
 class StoreReturnTest : public ::testing::TestWithParam<ReturnCase>
 {};
 
-// The change is accepted in the moment in which the store is back.
+// The store accepts the change at the moment it is back.
 TEST_P(StoreReturnTest, AChangeIsInForceSoonAfterIt)
 {
   const ReturnCase& given = GetParam();
@@ -281,33 +291,37 @@
     const Outage outage{ from, from + length, how };
     World world(count, outage, count);
     world.ChangeAt(outage.m_to + *rc::gen::inRange(0, 300));
-    // A read that the store held when a shorter outage began is waited for.
+    // If the outage is shorter than a held read, the read that was held when it
+    // began still has to time out.
     const int noticed = std::max(outage.m_to, from + kHeldReadMs);
     world.Play(noticed + 300 + kInForceMs);
     RC_ASSERT(world.AllHaveTheChange());
   }));
 }
 
-// The store goes on serving others: they pass on what those that it turns away
-// cannot read, for as long as that lasts.
+// Guards against outdated rows at instances that the store rejects while it
+// serves others: the others must pass on the changes, for as long as the
+// rejection lasts.
 TEST(StoreReturnWorldTest, PeersPassOnWhatTheStoreWithholds)
 {
-  EXPECT_TRUE(rc::check("turned away", [] {
+  EXPECT_TRUE(rc::check("rejected by the store", [] {
     const int from = *rc::gen::inRange(1000, 6000);
     const auto how = *rc::gen::element(Away::Silent, Away::Refuses);
     const Outage outage{ from, from + 20'000, how };
     World world(6, outage, *rc::gen::inRange<std::size_t>(1, 6));
     const int changeAt = from + *rc::gen::inRange(0, 10'000);
     world.ChangeAt(changeAt);
-    // If it withholds it from all that are on duty, their held reads show so.
+    // If the store rejects all pollers, they notice it only when their held
+    // reads time out.
     const int noticed = std::max(changeAt, from + kHeldReadMs);
     world.Play(noticed + kInForceMs);
     RC_ASSERT(world.AllHaveTheChange());
   }));
 }
 
-// With hundreds of instances an outage must not cost hundreds of calls a
-// second: those at rest ask four times in it at most, however long each waits.
+// Guards against hundreds of calls per second during an outage with hundreds of
+// instances. Each instance on standby may make at most four calls during the
+// outage.
 TEST(StoreReturnWorldTest, AnOutageIsWatchedByFew)
 {
   constexpr std::size_t kInstances = 60;
--- a/packages/relay/tests/TableFollowerPeersTest.cpp
+++ b/packages/relay/tests/TableFollowerPeersTest.cpp
@@ -1,5 +1,6 @@
-// Followers that pass rows on to each other, so that the store is asked by few:
-// with hundreds of instances each change cost hundreds of its calls.
+// Followers that pass rows on to each other, so that only few instances call
+// the store. Otherwise each change would cost hundreds of calls with hundreds
+// of instances.
 
 #include "Positions.h"
 
@@ -55,13 +56,13 @@
   EXPECT_EQ(Find<AskPeer>(first)->m_within, TableFollower::kAskWithin);
   ASSERT_NE(Find<RetryLater>(first), nullptr);
   EXPECT_EQ(Find<RetryLater>(first)->m_delay, TableFollower::kAskPatience);
-  EXPECT_TRUE(
-    Handle(PeerIsAhead{ PositionAt(13) }, 300).empty()); // It is asked already.
+  // A peer has already been asked.
+  EXPECT_TRUE(Handle(PeerIsAhead{ PositionAt(13) }, 300).empty());
   const auto rest = Handle(PeerAnswered{ Slice(13, false, "1") }, 350);
   EXPECT_NE(Find<ApplyRows>(rest), nullptr);
   EXPECT_EQ(Find<ReadChanges>(rest), nullptr);
   EXPECT_EQ(m_follower.Position(), PositionAt(13));
-  // The next change counts from its own first word.
+  // The time for the next change starts with the first report of that change.
   EXPECT_NE(Find<AskPeer>(Handle(PeerIsAhead{ PositionAt(14) }, 2000)),
             nullptr);
 }
@@ -69,15 +70,17 @@
 TEST_F(RestingTest, ReadsTheStoreIfNoPeerHelps)
 {
   Handle(PeerIsAhead{ PositionAt(12) }, 200);
-  EXPECT_NE(Find<AskPeer>(Handle(PeerFailed{}, 500)), nullptr); // Another one.
+  EXPECT_NE(Find<AskPeer>(Handle(PeerFailed{}, 500)), nullptr); // Another peer.
   const auto due = Handle(RetryDue{}, 1000);
   ASSERT_NE(Find<ReadChanges>(due), nullptr);
   EXPECT_EQ(Find<ReadChanges>(due)->m_after, PositionAt(9));
-  EXPECT_EQ(Find<ReadChanges>(due)->m_wait, Duration{}); // Not held.
+  // The store must not hold the read.
+  EXPECT_EQ(Find<ReadChanges>(due)->m_wait, Duration{});
   EXPECT_TRUE(Handle(PeerFailed{}, 1010).empty());
 }
 
-// A peer that was asked before the store answered has nothing new any more.
+// Guards against a second question to a peer: a peer that was asked before the
+// store answered has nothing newer.
 TEST_F(RestingTest, AsksNobodyOnceTheStoreHasAnswered)
 {
   Handle(PeerIsAhead{ PositionAt(12) }, 200);
@@ -87,7 +90,7 @@
   EXPECT_TRUE(Handle(PeerFailed{}, 1030).empty());
 }
 
-/** A peer's answer that is of no use. */
+/** A peer's answer that must not be accepted. */
 struct BadSliceCase
 {
   const char* m_name;
@@ -116,13 +119,17 @@
                     BadSliceCase{ "NoNewer", Slice(9, false, "0") }),
   [](const auto& aInfo) { return std::string(aInfo.param.m_name); });
 
-/** One that starts: what it does first, and after its peers have failed. */
+/**
+ * A starting instance, and when it reads the store after its peers have failed
+ * to answer.
+ */
 struct StartCase
 {
   const char* m_name;
   bool m_anyPeers;
   bool m_onDuty;
-  int m_readsAtDue; ///< Which end of its patience makes it read the store.
+  /** Number of `RetryDue` events until it reads the store. */
+  int m_readsAtDue;
 };
 
 class StartTest : public ::testing::TestWithParam<StartCase>
@@ -174,8 +181,10 @@
   EXPECT_TRUE(follower.HasRead());
 }
 
-/** Followers before one store. Two are on duty, the rest ask them and each
- * other; words and answers are lost. */
+/**
+ * Followers of one store. Two of them are pollers; the others ask the pollers
+ * and each other. Messages and answers may be lost.
+ */
 class World
 {
 public:
@@ -204,7 +213,10 @@
     m_store.Apply(std::vector<FollowedRow>{ row }, PositionAt(aVersion));
   }
 
-  /** One round: each carries out what it is to do, and tells the others. */
+  /**
+   * Plays one round: each follower carries out its pending actions and reports
+   * its position to the others.
+   */
   void Round(bool aLossy)
   {
     m_now += Duration{ 300 };
@@ -294,7 +306,10 @@
   {
   }
 
-  /** One that has read further; itself: nobody. */
+  /**
+   * Returns a follower that has read further, or `aWho` itself if there is
+   * none.
+   */
   std::size_t PickAhead(std::size_t aWho, StorePosition aAfter)
   {
     const std::size_t count = m_followers.size();
@@ -316,7 +331,10 @@
   std::vector<Instant> m_dueAt;
   std::size_t m_picked = 0;
   std::size_t m_readsAtRest = 0;
-  bool m_isOrderly = true; ///< No row was told ahead of its table's version.
+  /**
+   * True while no row was reported whose version is higher than its table's.
+   */
+  bool m_isOrderly = true;
   Instant m_now{};
 };
 
@@ -335,7 +353,8 @@
   }));
 }
 
-// The calls of a change must not grow with the deployment.
+// Guards against a number of store calls for each change that grows with the
+// deployment.
 TEST(TableFollowerPeersWorldTest, ThoseAtRestDoNotAskTheStore)
 {
   World world(60);
@@ -349,14 +368,13 @@
   EXPECT_EQ(world.ReadsAtRest(), 0U);
 }
 
-// Seen in a report: two instances refused calls by a configuration that had
-// been replaced 2.04 s before, behind an outage in which the store was silent.
-// How: the code of that report waited for the reads that the outage had
-// swallowed; see StoreReturnTest. Looked for in what was left, and found by
-// this sequence: an instance that the store goes on ignoring, whose one
-// question to a peer is lost, was deaf to every further word of the same
-// version, however many peers had it. Cause: the mark that keeps one version
-// from dropping a read twice also kept peers from being asked.
+// Guards against an instance that ignores its peers. If the store goes on
+// ignoring an instance and its one question to a peer is lost, it must ask a
+// peer again when the same version is reported again. Earlier, the record that
+// keeps one version from cancelling a read twice also kept peers from being
+// asked. Found while searching for the cause of a configuration that was still
+// in use 2.04 s after it had been replaced, after an outage in which the store
+// did not respond; for the cause of that delay itself see StoreReturnTest.
 TEST(IgnoredByTheStoreTest, APeerIsAskedAgainForTheSameVersion)
 {
   TableFollower follower;
@@ -374,10 +392,11 @@
             nullptr);
 }
 
-// Seen: an instance that the store ignored was a version behind for 2.2 s, as
-// the peer that it asked was behind itself, and no other one was asked before
-// its own read had failed. Shown by: all states that three faults lead to
-// (`FreshnessModelTest`, by hand).
+// Guards against an instance that stays a version behind although a peer has
+// the change. The store ignores the instance, and the peer that it asks is
+// behind itself; no other peer was asked before its own read failed, which took
+// 2.2 s. Found by enumerating all states that three faults lead to
+// (`FreshnessModelTest`, run by hand).
 TEST(IgnoredByTheStoreTest, APeerIsAskedAgainWhileTheReadIsUnderWay)
 {
   TableFollower follower;
--- a/packages/relay/tests/TableFollowerTest.cpp
+++ b/packages/relay/tests/TableFollowerTest.cpp
@@ -57,7 +57,8 @@
   EXPECT_EQ(apply->m_rows[1].m_key, "c");
 }
 
-// A store may answer a read from before what it has already told.
+// The store may answer a read with a state older than one it has already
+// returned.
 TEST_F(TableFollowerTest, AnOlderTableIsNotTaken)
 {
   Handle(TableRead{ { { "a", "2" } }, PositionAt(9) });
@@ -90,8 +91,11 @@
   EXPECT_EQ(last, TableFollower::kLongestRetry);
 }
 
-/** When a row's removal is read, after an outage whose end the first answer
- * shows at 2,000 ms, and until when it may be a lapse; 0: it is none. */
+/**
+ * A removal that is read after an outage. The first answer after the outage
+ * comes at 2,000 ms. `m_untilMs` is until when the row may only have expired; 0
+ * if it is gone.
+ */
 struct LapseCase
 {
   const char* m_name;
@@ -104,8 +108,9 @@
   , public ::testing::WithParamInterface<LapseCase>
 {};
 
-// Three seconds after the store's return what is gone binds again, and the
-// return is up to one read that got no answer before the first answer.
+// Guards against a grace period that depends on when the removal is read.
+// Removals are final again three seconds after the store's return, and the
+// return is at most one unanswered read before the first answer.
 TEST_P(LapseTest, EndsAtOneMomentHoweverLateTheRemovalIsRead)
 {
   Handle(TableRead{ { { "a", "1" } }, PositionAt(1) });
@@ -130,7 +135,8 @@
                            return std::string(aInfo.param.m_name);
                          });
 
-// Releases and rolling changes write many rows within moments.
+// Releases and rolling changes write many rows in quick succession. One read
+// must cover several of them.
 TEST_F(TableFollowerTest, AfterAChangeItWaitsForMore)
 {
   Handle(TableRead{ {}, PositionAt(1) });
@@ -156,14 +162,19 @@
   ASSERT_NE(Find<ReadChanges>(back), nullptr);
   EXPECT_EQ(Find<ReadChanges>(back)->m_wait, TableFollower::kDutyWait);
   EXPECT_TRUE(Handle(DutyChanged{ true }).empty());
-  EXPECT_TRUE(Handle(RetryDue{}).empty()); // The rest's own timer: too late.
+  // The timer set for standby fires too late.
+  EXPECT_TRUE(Handle(RetryDue{}).empty());
 }
 
-/** What a peer tells, when, and whether the read is made again then. */
+/**
+ * Reports of a peer, and how often the read is cancelled and sent again because
+ * of them.
+ */
 struct PeerCase
 {
   const char* m_name;
-  std::vector<std::pair<int, std::uint64_t>> m_told; ///< At ms, version.
+  /** Time in milliseconds, and the version reported then. */
+  std::vector<std::pair<int, std::uint64_t>> m_told;
   std::size_t m_dropped;
 };
 
@@ -172,7 +183,8 @@
   , public ::testing::WithParamInterface<PeerCase>
 {};
 
-// A read that the store will never answer: its outage began after the call.
+// Guards against waiting for a read that the store will never answer, because
+// its outage began after the read was sent.
 TEST_P(PeerTest, AReadThatMustHaveBeenLostIsMadeAgain)
 {
   Handle(TableRead{ { { "a", "1", false, 5 } }, PositionAt(9) });
@@ -202,7 +214,8 @@
               2 }),
   [](const auto& aInfo) { return std::string(aInfo.param.m_name); });
 
-// After a loss of all instances the first ones to have read tell all others.
+// After a loss of all instances, the first ones that have read the table report
+// it to all others. This must not cancel the whole reads of the others.
 TEST_F(TableFollowerTest, AWholeReadIsNotGivenUpForAPeersNews)
 {
   Handle(FollowBegan{});
@@ -224,12 +237,17 @@
             Instant{ Duration{ 1000 } + LapseGrace::kPeerLapseTime });
 }
 
-/** How a removal counts that one instance reads at 8,000 ms, the first answer
- * after its reads had failed since 1,000 ms. */
+/**
+ * An instance's reads fail from 1,000 ms on. At 8,000 ms it gets its first
+ * answer, which contains a removal.
+ */
 struct TurnedAwayCase
 {
   const char* m_name;
-  /** When peers whose reads are steady are heard, every 300 ms. */
+  /**
+   * Spans of time, in milliseconds, in which peers report steady reads every
+   * 300 ms.
+   */
   std::vector<std::pair<int, int>> m_steady;
   bool m_lapses;
 };
@@ -239,9 +257,11 @@
   , public ::testing::WithParamInterface<TurnedAwayCase>
 {};
 
-// The store turned one instance away for seven seconds and served all others.
-// What left meanwhile had not lapsed, and got calls for two seconds more. After
-// a cut of a hall, though, that hall's upstreams have lapsed, and are sound.
+// Guards against calls to upstreams that have left. The store rejected one
+// instance for seven seconds and served all others; upstreams that left in that
+// time had not expired, but got calls for two more seconds. After a cut of a
+// data centre, though, its upstreams' rows have expired, and the upstreams are
+// sound.
 TEST_P(TurnedAwayTest, OnlyAnOutageOfAllMakesLapses)
 {
   Handle(TableRead{ { { "a", "1" } }, PositionAt(1) });
@@ -261,7 +281,7 @@
   const auto* apply = Find<ApplyRows>(actions);
   ASSERT_NE(apply, nullptr);
   EXPECT_EQ(apply->m_lapsesUntil.has_value(), GetParam().m_lapses);
-  Handle(PeerReadsSteadily{}, 8300); // A word that comes later ends no grace.
+  Handle(PeerReadsSteadily{}, 8300); // A later report ends no grace period.
   const auto later =
     Handle(ChangesRead{ { { "b", {}, true, 3 } }, PositionAt(3) }, 8400);
   ASSERT_NE(Find<ApplyRows>(later), nullptr);
@@ -280,8 +300,9 @@
     TurnedAwayCase{ "CutOffWhenItBegan", { { 2500, 8000 } }, true }),
   [](const auto& aInfo) { return std::string(aInfo.param.m_name); });
 
-// Whatever is lost, late or asked twice: the follower ends with the store's
-// rows, and never tells a row that it had already replaced.
+// Guards against lost or outdated rows when reads fail or history is lost: the
+// follower must end with the store's rows, and must never report a value older
+// than one it has already reported.
 TEST(TableFollowerWorldTest, EndsWithTheRowsOfTheStore)
 {
   EXPECT_TRUE(rc::check("lossy store", [] {
@@ -300,7 +321,7 @@
             if (row.m_removed) {
               told.erase(row.m_key);
             } else {
-              // Values are versions here: they may only rise.
+              // The values are versions here, so they may only rise.
               const auto known = told.find(row.m_key);
               const bool rises =
                 known == told.end() ||
