--- a/packages/relay/include/ridgeferry/relay/GoneUpstreams.h
+++ b/packages/relay/include/ridgeferry/relay/GoneUpstreams.h
@@ -67,10 +67,10 @@
     Instant m_until;
   };
 
-  std::map<std::string, Gone, std::less<>>
-    m_gone; ///< Removed upstreams, by id.
-  std::map<std::string, Hold, std::less<>>
-    m_held; ///< Rows that are held back, by id.
+  /** Removed upstreams, by id. */
+  std::map<std::string, Gone, std::less<>> m_gone;
+  /** Rows that are held back, by id. */
+  std::map<std::string, Hold, std::less<>> m_held;
 };
 
 } // namespace ridgeferry::relay
--- a/packages/relay/include/ridgeferry/relay/LapseGrace.h
+++ b/packages/relay/include/ridgeferry/relay/LapseGrace.h
@@ -113,8 +113,8 @@
    */
   bool m_heardThrough = false;
   /**
-   * Since when answers have come without a failure; std::nullopt if there is no
-   * such answer.
+   * Time since which answers have come without a failure; std::nullopt if no
+   * answer has come since the last failure or restored copy.
    */
   std::optional<Instant> m_answersSince;
   Instant m_lastAnswer;
--- a/packages/relay/include/ridgeferry/relay/TableFollower.h
+++ b/packages/relay/include/ridgeferry/relay/TableFollower.h
@@ -17,8 +17,7 @@
 struct FollowBegan
 {};
 /**
- * The instance now knows which other instances exist. Sent also if there are
- * none.
+ * The instance now knows which other instances exist, or that there are none.
  */
 struct PeersListed
 {
@@ -429,16 +428,16 @@
   bool m_onDuty = true;
   bool m_onDutyByPlace = true;
   bool m_asking = false; ///< True while a read of the store is under way.
-  StorePosition
-    m_askedAfter;    ///< Position that the last read of changes was sent with.
-  Instant m_askedAt; ///< Time when the last read began.
+  /** Position that the last read of changes was sent with. */
+  StorePosition m_askedAfter;
+  Instant m_askedAt;         ///< Time when the last read began.
   bool m_askingPeer = false; ///< True while a question to a peer is open.
-  int m_startTries =
-    0; ///< Number of unanswered questions to peers since the start.
-  bool m_hasWaited =
-    false; ///< True once the first `kStartTimeout` has passed without a table.
-  bool m_resting =
-    false; ///< True while no read is under way and none is due soon.
+  /** Number of unanswered questions to peers since the start. */
+  int m_startTries = 0;
+  /** True once the first `kStartTimeout` has passed without a table. */
+  bool m_hasWaited = false;
+  /** True while no read is under way and none is due soon. */
+  bool m_resting = false;
   std::optional<Instant> m_behindSince;
   /** The peer's position for which a lost read was last cancelled and sent
    * again. */
--- a/packages/relay/src/LapseGrace.cpp
+++ b/packages/relay/src/LapseGrace.cpp
@@ -45,7 +45,8 @@
 LapseGrace::NotePeerLost(Instant aNow)
 {
   if (IsSteady(aNow)) {
-    return; // The peer is cut off, not the store.
+    // This instance reads steadily, so only the peer is cut off.
+    return;
   }
   m_peerSteadyAt.reset();
   const Instant until = aNow + kPeerLapseTime;
--- a/packages/relay/src/TableFollower.cpp
+++ b/packages/relay/src/TableFollower.cpp
@@ -255,7 +255,8 @@
   }
   if (!m_needsTable || m_hasRead) {
     if (m_behindSince) {
-      AskAPeer(kAskWithin, aActions); // Until `kAskPeerTimeout` is over.
+      // Peers are asked again and again until `kAskPeerTimeout` is over.
+      AskAPeer(kAskWithin, aActions);
     }
   } else if (++m_startTries < kStartTries) {
     AskAPeer({}, aActions);
--- a/packages/relay/tests/StoreGenerationTest.cpp
+++ b/packages/relay/tests/StoreGenerationTest.cpp
@@ -257,7 +257,8 @@
   const auto asks = Handle(GenerationSeen{ kNext }, 10);
   ASSERT_NE(Find<RetryLater>(asks), nullptr);
   EXPECT_EQ(Find<RetryLater>(asks)->m_delay, TableFollower::kAskPatience);
-  EXPECT_NE(Find<AskPeer>(Handle(PeerFailed{}, 200)), nullptr); // Another peer.
+  // Another peer is asked.
+  EXPECT_NE(Find<AskPeer>(Handle(PeerFailed{}, 200)), nullptr);
   EXPECT_NE(Find<ReadTable>(Handle(RetryDue{}, 810)), nullptr);
 }
 
--- a/packages/relay/tests/TableFollowerPeersTest.cpp
+++ b/packages/relay/tests/TableFollowerPeersTest.cpp
@@ -70,7 +70,8 @@
 TEST_F(RestingTest, ReadsTheStoreIfNoPeerHelps)
 {
   Handle(PeerIsAhead{ PositionAt(12) }, 200);
-  EXPECT_NE(Find<AskPeer>(Handle(PeerFailed{}, 500)), nullptr); // Another peer.
+  // Another peer is asked.
+  EXPECT_NE(Find<AskPeer>(Handle(PeerFailed{}, 500)), nullptr);
   const auto due = Handle(RetryDue{}, 1000);
   ASSERT_NE(Find<ReadChanges>(due), nullptr);
   EXPECT_EQ(Find<ReadChanges>(due)->m_after, PositionAt(9));
