--- a/packages/relay/include/ridgeferry/relay/AttemptEnd.h
+++ b/packages/relay/include/ridgeferry/relay/AttemptEnd.h
@@ -4,14 +4,16 @@
 
 namespace ridgeferry::relay {
 
-/** How an attempt ended, for what is known of its upstream. */
+/** How an attempt ended, as seen by the bookkeeping about its upstream (health,
+ * load). */
 enum class AttemptEnd : std::uint8_t
 {
-  Served,
-  Failed,    ///< Broken off, an error of its own, or out of reach.
-  Declined,  ///< It said that it did not run it.
-  Displaced, ///< Another upstream answers at its address.
-  Abandoned, ///< Ended from this side.
+  Served,    ///< The upstream gave a complete answer.
+  Failed,    ///< The connection broke, the upstream answered with an error
+             ///< of its own, or it could not be reached.
+  Declined,  ///< The upstream reported that it did not run the attempt.
+  Displaced, ///< Another upstream answered at the address.
+  Abandoned, ///< This instance cancelled the attempt.
 };
 
 } // namespace ridgeferry::relay
--- a/packages/relay/include/ridgeferry/relay/EventSplitter.h
+++ b/packages/relay/include/ridgeferry/relay/EventSplitter.h
@@ -6,21 +6,26 @@
 namespace ridgeferry::relay {
 
 /**
- * Cuts a stream of events into whole events, so that a caller never gets part
- * of one that another upstream would have to finish. Bytes are not changed.
- * Not thread-safe.
+ * Splits a stream of server-sent events at the ends of events. Only complete
+ * events are forwarded to a caller, so that another upstream can resume the
+ * stream with the next event if this one breaks. The bytes are not changed. Not
+ * thread-safe.
  */
 class EventSplitter
 {
 public:
-  /** Adds bytes; returns those that now form whole events, possibly none. */
+  /** Appends bytes of the stream. Returns all bytes that now form complete
+   * events; empty if no event is complete. */
   std::string Add(std::string_view aBytes);
-  /** The bytes of an event that has not ended, and forgets them. */
+  /** Returns the bytes of the last, incomplete event and removes them from the
+   * splitter. */
   std::string TakeRest();
-  /** The id of the last whole event that had one; empty: none yet. */
+  /** Returns the id of the last complete event that had one; empty if there has
+   * been none. */
   const std::string& LastId() const { return m_lastId; }
 
 private:
+  /** Stores the value of the `id` field in `m_lastId`, if the event has one. */
   void ReadId(std::string_view aEvent);
 
   std::string m_pending;
--- a/packages/relay/include/ridgeferry/relay/PlannedStop.h
+++ b/packages/relay/include/ridgeferry/relay/PlannedStop.h
@@ -6,40 +6,55 @@
 namespace ridgeferry::relay {
 
 /**
- * The order of a planned stop, so that it cuts no call: the balancer is told
- * at once; calls are taken while it may still send some; then connections at
- * rest are closed and further calls are refused as not run; the process ends
- * when nothing runs any more. Decisions only; not thread-safe.
+ * The steps of a planned stop, timed so that the stop interrupts no call:
+ *  1. the readiness check fails at once, so that the load balancer stops
+ *     sending calls;
+ *  2. the process still accepts calls while the load balancer may send some;
+ *  3. the process closes idle connections and refuses further calls as not run;
+ *  4. the process exits when no call is running.
+ *
+ * The class only decides; its caller carries the steps out. Not thread-safe.
  */
 class PlannedStop
 {
 public:
   /**
-   * How long calls are still taken. The balancer asks for readiness once a
-   * second and acts on the second miss. A call taken later could outlast the
-   * process's grace, and would be cut then.
+   * How long after the stop's signal calls are still accepted, in milliseconds.
+   * The load balancer checks readiness once a second and stops sending calls
+   * after the second failed check. A call that is accepted later could run
+   * beyond the process's grace period, and would then be interrupted.
    */
   static constexpr Duration kTakeFor{ 2800 };
-  /** Connections at rest are closed a little before calls are refused: what
-   * crosses the close has not been read, and its caller may send it again. */
+  /** How long idle connections are kept open, in milliseconds. They are closed
+   * shortly before calls are refused: a request that is sent while its
+   * connection is being closed has not been read, so its caller may safely send
+   * it again. */
   static constexpr Duration kKeepRestingFor{ 2500 };
-  /** New connections come from the balancer's old view until then. */
+  /** How long the process waits at least before it exits, in milliseconds.
+   * Until then the load balancer may open connections, because its view of this
+   * instance is out of date. */
   static constexpr Duration kListenFor{ 3500 };
-  /** Kept free at the end of the grace, for the process's own end. */
+  /** Time reserved at the end of the grace period for the shutdown of the
+   * process itself, in milliseconds. */
   static constexpr Duration kMargin{ 600 };
 
-  /** `aGrace`: from the stop's signal to the end by force. */
+  /** Begins the stop. `aGrace` is the time between the stop's signal and the
+   * moment when the process is killed. Further calls have no effect. */
   void Begin(Duration aGrace, Instant aNow);
 
   bool HasBegun() const { return m_began.has_value(); }
+  /** Returns whether the process still accepts calls. */
   bool TakesCalls(Instant aNow) const;
-  /** Whether connections between two requests are to be closed. */
+  /** Returns whether connections without a request under way are to be closed.
+   */
   bool ClosesResting(Instant aNow) const;
-  /** Whether the process may end, with that many calls under way or ended
-   * with bytes that are still to be sent. */
+  /** Returns whether the process may exit. `aOpen` is the number of calls that
+   * run or whose answers have not been sent completely. Once only `kMargin` of
+   * the grace period is left, the process may exit whatever `aOpen` is. */
   bool MayEnd(std::size_t aOpen, Instant aNow) const;
 
 private:
+  /** Returns the time since the stop began. */
   Duration Since(Instant aNow) const { return aNow - *m_began; }
 
   std::optional<Instant> m_began;
--- a/packages/relay/include/ridgeferry/relay/RelayFlow.h
+++ b/packages/relay/include/ridgeferry/relay/RelayFlow.h
@@ -12,9 +12,12 @@
 
 namespace ridgeferry::relay {
 
-/** Number of an attempt of one call, from 1; 0 is none. */
+/** Number of an attempt within one call. Attempts count from 1; 0 means that
+ * there is no attempt. */
 using AttemptId = std::uint32_t;
 
+/** The properties of a call's route that decide whether the call may be sent
+ * again. See `Route` for the meaning of the fields. */
 struct RelayTraits
 {
   Repeat m_repeat = Repeat::Never;
@@ -30,39 +33,47 @@
 struct PlaceFound
 {
   std::string m_upstream;
-  /** Reads the prompt first and hands its memory over; empty: nobody does. */
+  /** Engine that prefills the prompt first and then transfers its KV cache to
+   * `m_upstream`; empty if the prefill is not disaggregated. */
   std::string m_reader;
 };
-/** No upstream can take the call now. */
+/** No upstream can accept the call now. */
 struct NoPlace
 {
   enum class Cause : std::uint8_t
   {
     NoRoom,
-    TooLarge,    ///< None could in its caller's time: it need not come back.
-    Quarantined, ///< Upstreams end under it: none is to have it.
+    /** No upstream could answer within the time that the caller allows, even
+     * when idle, so the caller gains nothing by a retry. */
+    TooLarge,
+    /** The call is quarantined, because upstreams crashed while they ran it.
+     * It must not be sent to any upstream. */
+    Quarantined,
   };
   Duration m_retryAfter{};
   Cause m_cause = Cause::NoRoom;
 };
-/** No byte of the attempt has left. */
+/** The attempt failed before any of its bytes was sent. */
 struct AttemptUnsent
 {
   AttemptId m_attempt = 0;
 };
-/** The upstream's own word that it has not run the call. */
+/** The upstream reported that it has not run the call. */
 struct AttemptRefused
 {
   AttemptId m_attempt = 0;
-  bool m_displaced = false; ///< Said by another upstream, at its address.
+  bool m_displaced = false; ///< The refusal came from another
+                            ///< upstream that answers at the address.
 };
-/** A reader holds the prompt's memory under a handle. */
+/** The prefill is complete: the prefill engine holds the prompt's KV cache
+ * under a handle. */
 struct PromptRead
 {
   AttemptId m_attempt = 0;
   std::string m_handle;
 };
-/** An answer begins that is neither a refusal nor a read prompt. */
+/** The head of an answer arrived that is neither a refusal nor the answer to a
+ * prefill request. */
 struct HeadArrived
 {
   AttemptId m_attempt = 0;
@@ -77,13 +88,16 @@
 {
   AttemptId m_attempt = 0;
 };
-/** It ended after bytes may have left, without a whole answer. */
+/** The attempt ended without a complete answer, after some of its bytes may
+ * have been sent. The upstream may have run the call. */
 struct AttemptBroke
 {
   AttemptId m_attempt = 0;
 };
+/** The deadline of the call has passed. */
 struct DeadlinePassed
 {};
+/** The caller closed its connection. */
 struct CallerLeft
 {};
 
@@ -102,70 +116,90 @@
 
 // ---- actions ----
 
-/** Look for an upstream; answer with `PlaceFound` or `NoPlace`. */
+/** Requests an upstream. The driver must answer with `PlaceFound` or `NoPlace`.
+ */
 struct FindPlace
 {
+  /** Upstreams on which an attempt of this call has failed or was declined. */
   std::vector<std::string> m_excluded;
 };
-/** Have the prompt read and kept; nothing of the call runs. */
+/** Sends the prompt to a prefill engine, which keeps the KV cache for a later
+ * transfer. This does not count as a run of the call. */
 struct SendRead
 {
   AttemptId m_attempt = 0;
   std::string m_reader;
-  bool m_repeat = false; ///< Counts in the budget: not the first of its call.
+  /** True if this is not the first prefill of the call; it then counts against
+   * the retry budget. */
+  bool m_repeat = false;
 };
+/** Sends the call to the upstream that is to run it. */
 struct SendRun
 {
   AttemptId m_attempt = 0;
   std::string m_upstream;
-  std::string m_reader; ///< Holds the prompt's memory; empty: nobody.
-  std::string m_handle;
-  /** Go on after this event; empty: as the caller asked. */
+  /** Engine that holds the KV cache of the prompt; empty if none does. */
+  std::string m_reader;
+  std::string m_handle; ///< Handle of that KV cache on the prefill engine.
+  /** Id of the event after which the upstream must resume the stream; empty if
+   * the request goes out as the caller sent it. */
   std::string m_resumeAfter;
-  bool m_repeat = false; ///< Counts in the budget.
+  /** True if this is not the first send of the call; it then counts against the
+   * retry budget. */
+  bool m_repeat = false;
 };
 struct CancelAttempt
 {
   AttemptId m_attempt = 0;
 };
+/** Reports how an attempt ended, for the bookkeeping about its upstream. */
 struct NoteAttemptEnd
 {
   AttemptId m_attempt = 0;
   AttemptEnd m_end = AttemptEnd::Served;
 };
-/** Free what a reader still keeps for this call. */
+/** Releases the KV cache that a prefill engine still holds for this call. */
 struct FreeHandle
 {
   std::string m_reader;
   std::string m_handle;
 };
-/** Pass on the head of the present attempt's answer. */
+/** Forwards the head of the current attempt's answer to the caller. */
 struct ForwardHead
 {};
+/** Forwards bytes of the body to the caller. */
 struct ForwardBytes
 {
   std::string m_bytes;
 };
+/** Ends the forwarded answer regularly. */
 struct ForwardEnd
 {};
-/** Pass on a whole answer: its head is the present attempt's. */
+/** Forwards a complete answer: the head of the current attempt's answer and
+ * this body. */
 struct ForwardWhole
 {
   std::string m_body;
 };
-/** End the connection, so that what was passed on does not look whole. */
+/** Closes the connection to the caller, so that the caller can tell that the
+ * forwarded answer is incomplete. */
 struct BreakOff
 {};
-/** A final answer of our own. */
+/** Sends a final error answer that the relay itself produces. */
 struct ReplyOwn
 {
   enum class Reason : std::uint8_t
   {
-    NoRoom,      ///< It has not run and will not.
-    TooLarge,    ///< The same, and would not later either.
-    Quarantined, ///< The same: upstreams end under it.
-    NoAnswer,    ///< It may have run; its answer is lost.
-    TooLate,     ///< It may have run; its time is over.
+    /** The call has not run and will not run. */
+    NoRoom,
+    /** The call has not run. A later attempt would not run either, because no
+     * upstream can answer within the time that the caller allows. */
+    TooLarge,
+    /** The call has not run and is quarantined, because upstreams crashed while
+     * they ran it. */
+    Quarantined,
+    NoAnswer, ///< The call may have run, but its answer is lost.
+    TooLate,  ///< The call may have run, but its deadline has passed.
   };
   Reason m_reason = Reason::NoRoom;
   Duration m_retryAfter{};
@@ -185,42 +219,55 @@
                                  ReplyOwn>;
 
 /**
- * The life of one call whose bytes are passed through.
+ * State machine of one call from its start to its final answer. The answer of
+ * the upstream is forwarded to the caller unchanged.
  *
  * Invariants:
- *  - exactly one final answer (whole, ended, broken off, or our own), unless
- *    the caller left;
+ *  - the caller gets exactly one final answer (forwarded as a whole, forwarded
+ *    to its end, cut by a closed connection, or produced by the relay), unless
+ *    it left before;
  *  - an event of an attempt that is not the current one has no effect;
- *  - a call that may run once is sent again only after the upstream's own word
- *    that it did not run, or if no byte had left;
+ *  - a call that must not run twice (see `IsIdempotent`) is sent again only
+ *    after the upstream has reported that the call did not run, or if no byte
+ *    had been sent;
  *  - `NoRoom` is answered only if no attempt can have run;
- *  - a stream reaches the caller in whole events, in order, from one run or
- *    from runs that each go on after the last event passed on.
- * A pure state machine; not thread-safe.
+ *  - a stream reaches the caller in complete events, in order, from one run or
+ *    from runs that each resume after the last forwarded event. The class
+ *    performs no input or output: `Handle` takes events and returns the actions
+ *    that the driver must carry out. Not thread-safe.
  */
 class RelayFlow
 {
 public:
-  /** Sends of one call at the most, of any kind: beyond three other upstreams
-   * the time is better left to calls that can still be served. */
+  /** Maximum number of times that a call is sent to an upstream to run. After
+   * three other upstreams have failed, the time is better spent on calls that
+   * can still be served. */
   static constexpr int kMaxSends = 4;
-  /** A body up to this is gathered before any of it is passed on, so that a
-   * broken answer can still be repeated. Most answers are a few kilobytes. */
+  /** A body up to this size is buffered completely before any of it is
+   * forwarded, so that a call whose answer breaks can still be retried. Most
+   * answers are a few kilobytes. */
   static constexpr std::size_t kGatherBytes = std::size_t{ 256 } * 1024;
-  /** When to come back after a refusal that names no time of its own. */
+  /** Retry delay, in milliseconds, that the caller is given when the refusal
+   * names no delay of its own. */
   static constexpr Duration kRetryAfter{ 100 };
 
   explicit RelayFlow(RelayTraits aTraits);
 
+  /** Returns the actions that the driver must carry out, in order. Returns none
+   * after the final answer. */
   std::vector<RelayAction> Handle(const RelayEvent& aEvent);
 
   bool IsDone() const { return m_step == Step::Done; }
-  /** Tells whether the budget, and what is suspected of the call, allow one
-   * more send. */
+  /** Sets whether the call may be sent once more. The driver decides this by
+   * the retry budget and by whether the call is suspected of crashing
+   * upstreams. */
   void SetRepeatAllowed(bool aAllowed) { m_repeatAllowed = aAllowed; }
-  /** Runs that may have begun so far. */
+  /** Returns how many attempts may have run the call. An attempt counts only
+   * once it has ended, and no longer if its upstream turns out to have crashed.
+   */
   int Runs() const { return m_runs; }
-  /** Id of the last event that was passed on; empty: none had one. */
+  /** Returns the id of the last forwarded event that had one; empty if none
+   * had one. */
   const std::string& LastEventId() const { return m_events.LastId(); }
 
 private:
@@ -230,19 +277,22 @@
   {
     New,
     Placing,
-    Reading, ///< The prompt, at a reader.
+    Reading, ///< A prefill engine is prefilling the prompt.
     Running,
     Done,
   };
-  /** What becomes of the answer that is coming in. */
+  /** How the current attempt's answer is handled. */
   enum class Fate : std::uint8_t
   {
-    Unknown, ///< No head yet.
-    Stream,
-    Gather,
-    Pass,    ///< Too large to gather: passed on as it comes.
-    Repeat,  ///< A failure that may be repeated elsewhere.
-    Conceal, ///< Its status would promise what is not known.
+    Unknown, ///< The head of the answer has not arrived.
+    Stream,  ///< The answer is forwarded event by event.
+    Gather,  ///< The answer is buffered until it is complete.
+    Pass,    ///< Too large to buffer: the answer is forwarded as it arrives.
+    Repeat,  ///< The answer is a failure, and the call is retried elsewhere.
+    /** The answer is dropped, because its status would tell the caller that the
+     * call has not run, or because it cannot continue a stream that was
+     * forwarded in part. */
+    Conceal,
   };
 
   void On(const CallBegan& aEvent, Actions& aActions);
@@ -259,15 +309,24 @@
   void On(const CallerLeft& aEvent, Actions& aActions);
 
   bool IsCurrent(AttemptId aAttempt) const;
+  /** Whether the call may be sent again although an earlier attempt may have
+   * run it. */
   bool MayRunAgain() const;
+  /** Whether the route allows a second run of the call. */
   bool IsIdempotent() const;
   Fate FateOf(int aStatus) const;
   void StartRun(Actions& aActions);
-  /** Without a reader: none has read the prompt. */
+  /** Sends the call to `m_upstream` without a prefill engine, so that
+   * `m_upstream` prefills the prompt itself. */
   void ReadWhereItRuns(Actions& aActions);
+  /** Whether the call may be sent to the upstream whose stream broke, to find
+   * out whether that upstream has crashed. */
   bool MayAskWhetherEnded() const;
   void FindAgain(Actions& aActions);
+  /** Reports the end of the current attempt. Excludes its upstream from further
+   * placement unless the attempt was served or cancelled. */
   void Leave(AttemptEnd aEnd, Actions& aActions);
+  /** Finishes the call without an answer of an upstream. */
   void GiveUp(Duration aRetryAfter, Actions& aActions);
   void Finish(Actions& aActions, RelayAction aFinal);
 
@@ -275,14 +334,17 @@
   Step m_step = Step::New;
   Fate m_fate = Fate::Unknown;
   bool m_repeatAllowed = true;
-  bool m_forwarded = false; ///< The caller has seen a head.
+  bool m_forwarded = false; ///< The head of an answer was forwarded.
   AttemptId m_attempt = 0;
-  int m_sends = 0; ///< Sends that the upstream can have received.
-  int m_reads = 0; ///< Of prompts, for another upstream.
-  int m_tries = 0;
-  int m_runs = 0;
-  /** The upstream that broke off is asked to go on: if it has ended, that run
-   * counts no more and another may take the stream up. */
+  /** Sends that an upstream can have received: runs, and prefills that were
+   * declined. Each send after the first counts against the retry budget. */
+  int m_sends = 0;
+  int m_reads = 0; ///< Prefills sent to prefill engines.
+  int m_tries = 0; ///< Runs sent, whether or not an upstream received them.
+  int m_runs = 0;  ///< See `Runs`.
+  /** The upstream whose stream broke was asked to resume it. If that upstream
+   * cannot be reached, it has crashed: its run no longer counts, and another
+   * upstream may resume the stream. */
   bool m_askingWhetherEnded = false;
   std::string m_upstream;
   std::string m_reader;
--- a/packages/relay/include/ridgeferry/relay/RetryBudget.h
+++ b/packages/relay/include/ridgeferry/relay/RetryBudget.h
@@ -5,20 +5,24 @@
 
 namespace ridgeferry::relay {
 
+/** Limits of a retry budget. */
 struct BudgetTerms
 {
-  /** Repeats allowed for each first send in the window. The instances share
-   * one budget; a share of its own sends needs no talk between them. */
+  /** Retries allowed for each first send in the window. All instances share one
+   * budget. Because the limit is a fraction of an instance's own first sends,
+   * the instances need not communicate to keep it. */
   double m_ratio = 0.1;
-  /** Repeats allowed besides, in each window. Small: all instances together
-   * stay under the operators' floor, however many there are. */
+  /** Retries allowed in each window in addition to the ratio. The value is
+   * small, so that all instances together stay below the floor that operators
+   * set for the whole service, however many instances there are. */
   double m_floor = 2;
-  Duration m_window{ 10'000 };
+  Duration m_window{ 10'000 }; ///< Length of the sliding window.
 };
 
 /**
- * This instance's share of the sends beyond the first of each call to one
- * service, in any window of time. Decisions only; not thread-safe.
+ * Limits the retries that this instance sends to one service within a sliding
+ * window. A retry is any send of a call after its first. The class only decides
+ * and sends nothing. Not thread-safe.
  */
 class RetryBudget
 {
@@ -28,13 +32,16 @@
   {
   }
 
+  /** Records the first send of a call. */
   void NoteFirst(Instant aNow);
-  /** Whether one more repeat fits the window that ends now. */
+  /** Returns whether the window that ends at `aNow` allows one more retry. */
   bool MayRepeat(Instant aNow);
+  /** Records a retry. Must be called for each retry that is sent. */
   void NoteRepeat(Instant aNow);
   void SetTerms(BudgetTerms aTerms) { m_terms = aTerms; }
 
 private:
+  /** Removes sends that are no longer in the window that ends at `aNow`. */
   void Forget(Instant aNow);
 
   BudgetTerms m_terms;
--- a/packages/relay/include/ridgeferry/relay/Routes.h
+++ b/packages/relay/include/ridgeferry/relay/Routes.h
@@ -12,57 +12,73 @@
 
 namespace ridgeferry::relay {
 
-/** What may be done again with a call of a route. */
+/** Whether a call of a route may run more than once. */
 enum class Repeat : std::uint8_t
 {
-  Freely, ///< It may run more than once.
-  Never,  ///< It may run at most once.
+  Freely, ///< A call may run more than once.
+  Never,  ///< A call may run at most once.
 };
 
-/** One of the services that a route is split over. */
+/** One of the services among which the calls of a route are divided. */
 struct ServiceShare
 {
   std::string m_service;
-  double m_weight = 1; ///< Relative to the route's other shares.
+  double m_weight = 1; ///< Relative to the weights of the route's other shares.
 };
 
-/** Declared by operators: which calls go where, and how. */
+/** A route as operators declare it: which calls it applies to, the services
+ * that handle them, and the rules for retries and time limits. Durations are in
+ * milliseconds. */
 struct Route
 {
   std::string m_name;
   std::string m_host;
-  std::string m_pathPrefix; ///< Begins and ends with a slash.
+  std::string m_pathPrefix; ///< Begins and ends with a slash (`/`).
   std::vector<ServiceShare> m_services;
   Repeat m_repeat = Repeat::Never;
   bool m_stream = false;    ///< The answer is a stream of events.
-  bool m_resumable = false; ///< A stream may go on at another upstream.
-  int m_maxRuns = 1;        ///< Upstreams that one call may run on.
+  bool m_resumable = false; ///< Another upstream may resume a broken
+                            ///< stream.
+  int m_maxRuns = 1;        ///< Maximum number of runs of one call.
   int m_priority = 0;       ///< 0 is the most urgent.
-  Duration m_longest{};     ///< How long a call may be held.
-  Duration m_aim{};         ///< To the first byte of the answer.
-  Duration m_pause{};       ///< Longest between two events; 0: not told.
-  /** Callers give a stream up that has brought nothing for so long, from its
-   * beginning on. */
+  /** Longest time between the arrival of a call and its final answer. */
+  Duration m_longest{};
+  /** Target for the time between the arrival of a call and the first byte of
+   * its answer; 0 if the route has no target. */
+  Duration m_aim{};
+  /** Longest time between two events of a stream; 0 if none is declared. */
+  Duration m_pause{};
+  /** Callers abandon a stream that has brought no event for this time. The time
+   * counts from the arrival of the call, so it also limits the wait for the
+   * first event. `Duration::max()` means that callers do not do so. */
   Duration m_silence = Duration::max();
 };
 
-/** What the engines of a service can hold and do. */
+/** Capacity and transfer rate of the engines of a service. */
 struct EngineTraits
 {
-  std::int64_t m_slots = 1;       ///< Calls at once.
-  std::int64_t m_cacheTokens = 0; ///< Memory for running and kept prompts.
-  double m_bytesPerToken = 0;     ///< Of that memory.
-  double m_movedBytesPerMs = 0;   ///< Of it between two engines; 0: not told.
-  Duration m_handleLife{};        ///< Of a prompt read for another engine.
+  std::int64_t m_slots = 1; ///< Calls that one engine runs at the same time.
+  /** Size of the KV cache, in tokens of running calls and cached prompts. */
+  std::int64_t m_cacheTokens = 0;
+  double m_bytesPerToken = 0; ///< KV cache bytes for each token.
+  /** Rate of a KV transfer between two engines, in bytes a millisecond; 0 if
+   * none is declared. */
+  double m_movedBytesPerMs = 0;
+  /** How long a prefill engine holds the KV cache of a prompt for another
+   * engine. */
+  Duration m_handleLife{};
 };
 
 struct Service
 {
   std::string m_name;
-  std::int64_t m_maxConnections = 1;    ///< To each upstream, from all callers.
-  std::optional<EngineTraits> m_engine; ///< Nothing: a plain service.
+  /** Connections that each upstream accepts from all instances together. */
+  std::int64_t m_maxConnections = 1;
+  /** Empty if the service is not an inference engine. */
+  std::optional<EngineTraits> m_engine;
 };
 
+/** Limits on the requests and connections of callers. */
 struct CallerLimits
 {
   std::size_t m_headBytes = std::size_t{ 16 } * 1024;
@@ -71,7 +87,8 @@
   Duration m_idleTimeout{ 15'000 };
 };
 
-/** One whole configuration, as accepted. Versions only rise. */
+/** A complete, validated configuration. A newer configuration has a higher
+ * version. */
 struct RouteConfig
 {
   std::uint64_t m_version = 0;
@@ -81,21 +98,26 @@
 };
 
 /**
- * Finds the route of a call: of its host, the one with the longest prefix that
- * begins the path. Looks up once a path segment, however many routes there
- * are. Immutable, so thread-safe.
+ * Finds the route of a call: among the routes of the call's host, the one with
+ * the longest prefix of the path. A search takes at most one hash lookup for
+ * each path segment, regardless of the number of routes. Immutable, and
+ * therefore thread-safe.
  */
 class RouteTable
 {
 public:
   explicit RouteTable(RouteConfig aConfig);
 
-  /** Null if no route fits. `aHost` may carry a port; `aPath` has no query. */
+  /** Returns null if no route matches. `aHost` may include a port; `aPath` must
+   * not include a query. */
   const Route* Find(std::string_view aHost, std::string_view aPath) const;
+  /** Returns null if no service has this name. */
   const Service* FindService(std::string_view aName) const;
-  /** The shortest aim among the streams of a service; 0: it has none. */
+  /** Returns the shortest target for the first byte among the streaming routes
+   * of a service; 0 if none of them has a target. */
   Duration ShortestAim(std::string_view aService) const;
-  /** The service for one call, drawn by weight; `aDraw` is in [0, 1). */
+  /** Returns the service for one call, chosen in proportion to the weights.
+   * `aDraw` is a random number in [0, 1). */
   static const std::string& Draw(const Route& aRoute, double aDraw);
 
   std::uint64_t Version() const { return m_config.m_version; }
@@ -105,9 +127,11 @@
   void NoteAim(const Route& aRoute);
 
   RouteConfig m_config;
-  std::unordered_map<std::string, const Route*> m_byPlace; ///< Host + prefix.
+  /** The key is the host followed by the path prefix. */
+  std::unordered_map<std::string, const Route*> m_byPlace;
   std::map<std::string, const Service*, std::less<>> m_byService;
-  std::map<std::string, Duration, std::less<>> m_shortestAims; ///< By service.
+  /** The key is the name of the service. */
+  std::map<std::string, Duration, std::less<>> m_shortestAims;
 };
 
 } // namespace ridgeferry::relay
--- a/packages/relay/src/ConnectionShare.cpp
+++ b/packages/relay/src/ConnectionShare.cpp
@@ -6,11 +6,13 @@
 
 namespace {
 
-/** Part of an upstream's connections that is given out, in tenths: the rest
- * is for checks and for instances that start. */
+/** Tenths of an upstream's connections that are divided among the instances.
+ * The other two tenths remain for health checks and for instances that
+ * start. */
 constexpr std::int64_t kGivenTenths = 8;
 constexpr std::int64_t kTenths = 10;
-/** Most connections at rest, in a burst's wake; more would only rest. */
+/** Maximum number of idle connections kept after a burst of calls. Further ones
+ * would stay unused. */
 constexpr std::int64_t kMostIdle = 32;
 
 } // namespace
--- a/packages/relay/src/EventSplitter.cpp
+++ b/packages/relay/src/EventSplitter.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-/** Length of the first whole event with its blank line; 0: none is whole. */
+/** Returns the length of the first complete event, including the blank line
+ * that ends it; 0 if no event is complete. */
 std::size_t
 EventLength(std::string_view aBytes)
 {
--- a/packages/relay/src/RelayFlow.cpp
+++ b/packages/relay/src/RelayFlow.cpp
@@ -10,7 +10,7 @@
 constexpr int kFirstRedirect = 300;
 constexpr int kFirstServerError = 500;
 
-/** Statuses that promise a caller that its call has not run. */
+/** Whether the status tells a caller that its call has not run. */
 bool
 PromisesNotRun(int aStatus)
 {
@@ -70,7 +70,8 @@
 RelayFlow::Fate
 RelayFlow::FateOf(int aStatus) const
 {
-  // This run counts already, though its answer is not whole yet.
+  // `m_runs` does not include the current run until its answer is complete, so
+  // the current run is added here.
   if (aStatus >= kFirstServerError && !m_forwarded && IsIdempotent() &&
       m_repeatAllowed && m_runs + 1 < m_traits.m_maxRuns &&
       m_tries < kMaxSends) {
@@ -83,7 +84,8 @@
   if (m_traits.m_stream && success) {
     return Fate::Stream;
   }
-  // A failure cannot go on what the caller was given of an earlier run.
+  // A failure cannot continue a stream of which the caller already has a part
+  // from an earlier run.
   return m_forwarded ? Fate::Conceal : Fate::Gather;
 }
 
@@ -201,11 +203,13 @@
   Leave(aEvent.m_displaced ? AttemptEnd::Displaced : AttemptEnd::Declined,
         aActions);
   if (m_step == Step::Reading) {
-    // A reading that was declined counts as a send.
+    // A declined prefill counts as a send, so that the next send counts against
+    // the retry budget.
     ++m_sends;
   }
   if (m_askingWhetherEnded) {
-    // It lives, and counts among the runs allowed.
+    // The upstream answered, so it has not crashed: its earlier run still
+    // counts against `m_maxRuns`, and no other upstream may resume the stream.
     GiveUp(kRetryAfter, aActions);
     return;
   }
@@ -271,7 +275,8 @@
     return;
   }
   if (m_step == Step::Reading) {
-    // An answer without a handle.
+    // The answer of the prefill engine has no handle, so its KV cache cannot be
+    // used.
     Leave(AttemptEnd::Failed, aActions);
     ReadWhereItRuns(aActions);
     return;
--- a/packages/relay/tests/ConnectionShareTest.cpp
+++ b/packages/relay/tests/ConnectionShareTest.cpp
@@ -4,6 +4,8 @@
 namespace ridgeferry::relay {
 namespace {
 
+/** An upstream's connection limit, the number of instances, and the share that
+ * one instance gets. */
 struct ShareCase
 {
   const char* m_name;
--- a/packages/relay/tests/EventSplitterTest.cpp
+++ b/packages/relay/tests/EventSplitterTest.cpp
@@ -5,12 +5,13 @@
 namespace ridgeferry::relay {
 namespace {
 
+/** The bytes of a stream and what the splitter makes of them. */
 struct SplitCase
 {
   const char* m_name;
   const char* m_bytes;
-  const char* m_whole;
-  const char* m_lastId;
+  const char* m_whole;  ///< The complete events among the bytes.
+  const char* m_lastId; ///< Expected `LastId`.
 };
 
 class EventSplitterTest : public ::testing::TestWithParam<SplitCase>
@@ -46,9 +47,11 @@
     SplitCase{ "BlankLines", "\n\n", "\n\n", "" }),
   [](const auto& aInfo) { return std::string(aInfo.param.m_name); });
 
+// A network may deliver a stream in pieces of any size. The events and the last
+// id must not depend on where the pieces are cut.
 TEST(EventSplitterPropertyTest, BytesAreNeitherLostNorChangedHoweverTheyCome)
 {
-  EXPECT_TRUE(rc::check("any cuts", [] {
+  EXPECT_TRUE(rc::check("any cuts of the stream", [] {
     const auto bytes = *rc::gen::container<std::string>(
       rc::gen::element('i', 'd', ':', ' ', '1', '\n', '\r', 'x'));
     EventSplitter splitter;
--- a/packages/relay/tests/PlannedStopTest.cpp
+++ b/packages/relay/tests/PlannedStopTest.cpp
@@ -6,7 +6,8 @@
 
 constexpr Duration kGrace{ 8000 };
 
-/** What holds at a moment after the stop's signal. */
+/** The expected decisions at a time after the stop's signal, with a number of
+ * calls still running. */
 struct StopCase
 {
   const char* m_name;
@@ -39,13 +40,16 @@
     StopCase{ "AtOnce", 0, 0, true, false, false },
     StopCase{ "TheBalancerMayStillSend", 2000, 0, true, false, false },
     StopCase{ "RestingConnectionsGoFirst", 2600, 3, true, true, false },
-    // A stream taken here could be cut by the end of the grace.
+    // A stream accepted at this time could be interrupted by the end of the
+    // grace period.
     StopCase{ "NoCallAfterThreeSeconds", 3000, 3, false, true, false },
     StopCase{ "EndsWhenNothingRuns", 3600, 0, false, true, true },
     StopCase{ "WaitsForWhatRuns", 7000, 1, false, true, false },
     StopCase{ "EndsBeforeItIsKilled", 7500, 1, false, true, true }),
   [](const auto& aInfo) { return std::string(aInfo.param.m_name); });
 
+// If a second signal restarted the stop, calls would be accepted again and the
+// process could be killed before they end.
 TEST(PlannedStopOnceTest, ASecondSignalChangesNothing)
 {
   PlannedStop stop;
--- a/packages/relay/tests/RelayFlowTest.cpp
+++ b/packages/relay/tests/RelayFlowTest.cpp
@@ -5,7 +5,9 @@
 namespace ridgeferry::relay {
 namespace {
 
-/** A word for each action, so that a whole story is one line of text. */
+/** Returns a short text for an action, so that the expected actions of a case
+ * fit in one string. `!` marks a send that counts against the retry budget, `+`
+ * a KV cache handle, and `>` the event after which a stream resumes. */
 std::string
 Word(const RelayAction& aAction)
 {
@@ -56,8 +58,8 @@
 {
   const char* m_name;
   RelayTraits m_traits;
-  std::vector<RelayEvent> m_events; ///< After the call began.
-  const char* m_story;              ///< All actions from its beginning on.
+  std::vector<RelayEvent> m_events; ///< Events that follow `CallBegan`.
+  const char* m_story; ///< All actions, including those for `CallBegan`.
   bool m_repeatAllowed = true;
 };
 
@@ -81,7 +83,8 @@
   EXPECT_EQ(story, GetParam().m_story);
 }
 
-const std::string kEvent1 = "id: 1\ndata: a\n\n"; // 15 bytes.
+const std::string kEvent1 =
+  "id: 1\ndata: a\n\n"; // 15 bytes, so the text is `bytes15`.
 const std::string kEvent2 = "id: 2\ndata: b\n\n";
 
 INSTANTIATE_TEST_SUITE_P(
--- a/packages/relay/tests/RelayWorldTest.cpp
+++ b/packages/relay/tests/RelayWorldTest.cpp
@@ -1,5 +1,6 @@
-// A call among upstreams that refuse, break off and answer as they please,
-// with words that come late or twice: what must always hold of it.
+// Checks the invariants of `RelayFlow` under random sequences of events:
+// upstreams refuse, break the connection or answer, the deadline passes, the
+// caller leaves, and events of earlier attempts arrive late or twice.
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -9,8 +10,10 @@
 namespace ridgeferry::relay {
 namespace {
 
+/** Number of events in the stream that each run produces. */
 constexpr int kStreamLength = 4;
-/** Most calls end early: many a case, so that the long ones are played too. */
+/** Calls simulated in each RapidCheck case. Most calls end after a few steps,
+ * so many are needed to cover long ones too. */
 constexpr int kCallsEachCase = 20;
 
 std::string
@@ -19,14 +22,16 @@
   return "id: " + std::to_string(aNumber) + "\ndata: x\n\n";
 }
 
-/** RC_ASSERT takes an expression apart, which breaks one with an "or". */
+/** Asserts a condition that contains `||`. RC_ASSERT decomposes its expression,
+ * which does not work with `||`. */
 void
 Must(bool aHolds)
 {
   RC_ASSERT(aHolds);
 }
 
-/** One call, and the truth about what ran of it. */
+/** Drives one call with random events and records which upstreams really ran
+ * it, so that the answers of `RelayFlow` can be checked against that record. */
 class World
 {
 public:
@@ -58,7 +63,7 @@
     } else if (m_attempt != 0) {
       StepAttempt(*rc::gen::inRange(2, 12));
     }
-    // A word of an earlier attempt, at any time.
+    // Events of an earlier attempt can arrive at any time.
     if (m_attempt > 1 && *rc::gen::inRange(0, 4) == 0) {
       Take(BytesArrived{ m_attempt - 1, EventText(99) });
       Take(AnswerEnded{ m_attempt - 1 });
@@ -76,7 +81,7 @@
       Must(!m_saidNotRun || m_runs == 0);
     }
     RC_ASSERT(m_ranAt.size() <= static_cast<std::size_t>(m_traits.m_maxRuns));
-    // The stream: whole events in their order, each once.
+    // The caller must receive complete events in order, each exactly once.
     std::string expected;
     for (int i = 1; expected.size() < m_forwarded.size(); ++i) {
       expected += EventText(i);
@@ -115,7 +120,9 @@
       if (aWhat == 2) {
         Take(AttemptRefused{ m_attempt });
       } else {
-        m_ranAt.erase(m_runAt); // It has ended: it counts no more.
+        // The upstream cannot be reached, so it has crashed and its earlier run
+        // no longer counts.
+        m_ranAt.erase(m_runAt);
         Take(AttemptUnsent{ m_attempt });
       }
     } else if (aWhat < 6) {
@@ -138,7 +145,7 @@
       Take(AnswerEnded{ m_attempt });
       return;
     }
-    // Cut somewhere, so that events come in parts.
+    // The event arrives in two pieces, cut at a random position.
     const std::string text = EventText(m_next++);
     const auto cut = *rc::gen::inRange<std::size_t>(0, text.size());
     const AttemptId attempt = m_attempt;
@@ -212,7 +219,8 @@
   int m_runs = 0;
   int m_upstreams = 0;
   std::string m_runAt;
-  std::set<std::string> m_ranAt; ///< Upstreams that have not ended since.
+  /** Upstreams that ran the call and have not crashed since. */
+  std::set<std::string> m_ranAt;
   int m_finals = 0;
   int m_given = 0;
   std::string m_forwarded;
--- a/packages/relay/tests/RetryBudgetTest.cpp
+++ b/packages/relay/tests/RetryBudgetTest.cpp
@@ -7,9 +7,11 @@
 namespace ridgeferry::relay {
 namespace {
 
+// A budget that forgets retries too early, or counts first sends that have left
+// the window, would allow more retries than its limits.
 TEST(RetryBudgetTest, HoldsInEachWindowWhateverComesWhen)
 {
-  EXPECT_TRUE(rc::check("any sends", [] {
+  EXPECT_TRUE(rc::check("retries stay within the budget for any sends", [] {
     const BudgetTerms terms{ 0.2, 3, Duration{ 1000 } };
     RetryBudget budget(terms);
     std::deque<Instant> first;
@@ -29,7 +31,7 @@
               return now - aSent < terms.m_window;
             }));
         };
-        // Exactly, whenever a repeat is made.
+        // The limit holds exactly at the time of each retry.
         RC_ASSERT(inWindow(repeats) <=
                   terms.m_floor + terms.m_ratio * inWindow(first));
       }
@@ -38,6 +40,9 @@
           sends->pop_front();
         }
       }
+      // Between retries the limit can be exceeded, because first sends leave
+      // the window before the retries that they allowed. The test therefore
+      // tolerates 3 more retries than the limit.
       RC_ASSERT(static_cast<double>(repeats.size()) <=
                 terms.m_floor +
                   terms.m_ratio * static_cast<double>(first.size()) + 3);
@@ -45,6 +50,7 @@
   }));
 }
 
+// Without the floor, a service with little traffic would get no retries at all.
 TEST(RetryBudgetTest, TheFloorIsThereWithoutTrafficAndComesBack)
 {
   RetryBudget budget({ 0.1, 2, Duration{ 1000 } });
--- a/packages/relay/tests/RoutesTest.cpp
+++ b/packages/relay/tests/RoutesTest.cpp
@@ -32,7 +32,7 @@
   const char* m_name;
   const char* m_host;
   const char* m_path;
-  const char* m_route; ///< Null: no route fits.
+  const char* m_route; ///< Null if no route matches.
 };
 
 class RouteTableTest : public ::testing::TestWithParam<FindCase>
@@ -68,6 +68,7 @@
     FindCase{ "PathOfAnotherHost", "b.example", "/tiles/5", "all" }),
   [](const auto& aInfo) { return std::string(aInfo.param.m_name); });
 
+/** A random number and the service that it selects. */
 struct DrawCase
 {
   const char* m_name;
