--- a/packages/relay/include/ridgeferry/relay/Routes.h
+++ b/packages/relay/include/ridgeferry/relay/Routes.h
@@ -46,7 +46,8 @@
   /** Target for the time between the arrival of a call and the first byte of
    * its answer; 0 if the route has no target. */
   Duration m_aim{};
-  /** Longest time between two events of a stream; 0 if none is declared. */
+  /** Target for the time between two events of a stream; 0 if the route has no
+   * target. */
   Duration m_pause{};
   /** Callers abandon a stream that has brought no event for this time. The time
    * counts from the arrival of the call, so it also limits the wait for the
