--- a/packages/relay/include/ridgeferry/relay/EventSplitter.h
+++ b/packages/relay/include/ridgeferry/relay/EventSplitter.h
@@ -8,8 +8,8 @@
 /**
  * Splits a stream of server-sent events at the ends of events. Only complete
  * events are forwarded to a caller, so that another upstream can resume the
- * stream with the next event if this one breaks. The bytes are not changed. Not
- * thread-safe.
+ * stream with the next event if the first upstream breaks off. The bytes are
+ * not changed. Not thread-safe.
  */
 class EventSplitter
 {
--- a/packages/relay/include/ridgeferry/relay/RelayFlow.h
+++ b/packages/relay/include/ridgeferry/relay/RelayFlow.h
@@ -62,8 +62,8 @@
 struct AttemptRefused
 {
   AttemptId m_attempt = 0;
-  bool m_displaced = false; ///< The refusal came from another
-                            ///< upstream that answers at the address.
+  /** The refusal came from another upstream that answers at the address. */
+  bool m_displaced = false;
 };
 /** The prefill is complete: the prefill engine holds the prompt's KV cache
  * under a handle. */
@@ -288,8 +288,9 @@
     Unknown, ///< The head of the answer has not arrived.
     Stream,  ///< The answer is forwarded event by event.
     Gather,  ///< The answer is buffered until it is complete.
-    Pass,    ///< Too large to buffer: the answer is forwarded as it arrives.
-    Repeat,  ///< The answer is a failure, and the call is retried elsewhere.
+    /** The answer is too large to buffer and is forwarded as it arrives. */
+    Pass,
+    Repeat, ///< The answer is a failure, and the call is retried elsewhere.
     /** The answer is dropped, because its status would tell the caller that the
      * call has not run, or because it cannot continue a stream that was
      * forwarded in part. */
--- a/packages/relay/include/ridgeferry/relay/Routes.h
+++ b/packages/relay/include/ridgeferry/relay/Routes.h
@@ -36,11 +36,11 @@
   std::string m_pathPrefix; ///< Begins and ends with a slash (`/`).
   std::vector<ServiceShare> m_services;
   Repeat m_repeat = Repeat::Never;
-  bool m_stream = false;    ///< The answer is a stream of events.
-  bool m_resumable = false; ///< Another upstream may resume a broken
-                            ///< stream.
-  int m_maxRuns = 1;        ///< Maximum number of runs of one call.
-  int m_priority = 0;       ///< 0 is the most urgent.
+  bool m_stream = false; ///< The answer is a stream of events.
+  /** Another upstream may resume a broken stream. */
+  bool m_resumable = false;
+  int m_maxRuns = 1;  ///< Maximum number of runs of one call.
+  int m_priority = 0; ///< 0 is the most urgent.
   /** Longest time between the arrival of a call and its final answer. */
   Duration m_longest{};
   /** Target for the time between the arrival of a call and the first byte of
--- a/packages/relay/tests/RelayFlowTest.cpp
+++ b/packages/relay/tests/RelayFlowTest.cpp
@@ -59,7 +59,8 @@
   const char* m_name;
   RelayTraits m_traits;
   std::vector<RelayEvent> m_events; ///< Events that follow `CallBegan`.
-  const char* m_story; ///< All actions, including those for `CallBegan`.
+  /** All actions, including those for `CallBegan`. */
+  const char* m_story;
   bool m_repeatAllowed = true;
 };
 
--- a/packages/routing/include/ridgeferry/routing/CallFlow.h
+++ b/packages/routing/include/ridgeferry/routing/CallFlow.h
@@ -70,7 +70,8 @@
   std::string m_contentType;
   std::string m_body;
 };
-/** The outcome of the claimed call is stored, as `CloseClaim` requested. */
+/** The driver has stored the outcome of the claimed call, or has failed to do
+ * so. */
 struct ClaimClosed
 {
   /** The outcome that may be reported to the caller. It is `MayHaveRun` if the
@@ -180,7 +181,7 @@
 {
   /** A decode engine is wanted, because the prefill is complete. */
   bool m_wantsPair = false;
-  std::vector<std::string> m_excluded; ///< Upstreams that failed this call.
+  std::vector<std::string> m_excluded; ///< Upstreams that failed or refused.
   /** Number of retries so far. The driver waits before the request according to
    * this number. */
   int m_retry = 0;
--- a/packages/routing/include/ridgeferry/routing/Dispatcher.h
+++ b/packages/routing/include/ridgeferry/routing/Dispatcher.h
@@ -30,7 +30,8 @@
   /** The prefill of the call is complete, so it needs a decode engine. */
   bool m_wantsPair = false;
   std::uint64_t m_prefixHash = 0;
-  std::vector<std::string> m_excluded; ///< Upstreams that failed this call.
+  /** Upstreams that failed or refused this call. */
+  std::vector<std::string> m_excluded;
 };
 
 /** The call was given an upstream. `Dispatcher::Ended` must be called once when
--- a/packages/routing/include/ridgeferry/routing/RetryBudget.h
+++ b/packages/routing/include/ridgeferry/routing/RetryBudget.h
@@ -13,7 +13,8 @@
 {
 public:
   static constexpr double kPerCall = 0.2; ///< Retries that each call adds.
-  static constexpr double kMost = 20;     ///< Maximum number of unused retries.
+  /** Maximum number of unused retries. */
+  static constexpr double kMost = 20;
   static constexpr Duration kFirstBackoff{ 20 };
   static constexpr Duration kLongestBackoff{ 1000 };
 
--- a/packages/routing/include/ridgeferry/routing/UpstreamSet.h
+++ b/packages/routing/include/ridgeferry/routing/UpstreamSet.h
@@ -40,7 +40,7 @@
   std::int64_t m_slots = 1;
   std::int64_t m_running = 0; ///< Number of running and waiting calls.
   bool m_draining = false;
-  bool m_changing = false; ///< The engine is changing its role.
+  bool m_changing = false; ///< A change, such as of the role, is under way.
 };
 
 /** What this instance knows of one upstream. */
--- a/packages/routing/src/CallFlow.cpp
+++ b/packages/routing/src/CallFlow.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-/** Retry delay, in milliseconds, that is given to the caller of a call whose
- * upstream failed or whose deadline passed. */
+/** Retry delay, in milliseconds, that is given to the caller of a call that no
+ * upstream completed or whose deadline passed. */
 constexpr Duration kFailedRetry{ 1000 };
 
 } // namespace
@@ -297,7 +297,8 @@
     return;
   }
   if (aEvent.m_tokens != m_nextOffset) {
-    Broke(aActions); // Tokens are missing, so the output is incomplete.
+    // Tokens are missing, so the output is incomplete.
+    Broke(aActions);
     return;
   }
   Release(false, aActions);
--- a/packages/routing/src/Dispatcher.cpp
+++ b/packages/routing/src/Dispatcher.cpp
@@ -152,7 +152,8 @@
                  [&](UpstreamIndex aIndex) {
                    return !IsExcluded(aRequest, m_upstreams.At(aIndex));
                  });
-    // If every upstream has failed this call, any of them may be tried again.
+    // If every upstream has failed or refused this call, any of them may be
+    // tried again.
     found =
       Choose(m_policy,
              m_upstreams,
--- a/packages/routing/tests/DispatcherTest.cpp
+++ b/packages/routing/tests/DispatcherTest.cpp
@@ -192,7 +192,7 @@
   [](const auto& aInfo) { return std::string(aInfo.param.m_name); });
 
 // If an out-of-date list cancelled the announcement, the leaving upstream would
-// get new calls and interrupt them.
+// get new calls and then interrupt them when it stops.
 TEST(UpstreamSetTest, ForgetsNoWordOfLeaving)
 {
   UpstreamSet upstreams;
