--- a/packages/membership/bench/StoreDutyBench.cpp
+++ b/packages/membership/bench/StoreDutyBench.cpp
@@ -1,6 +1,6 @@
-// What the question whether anybody is heard whose reads succeed costs, asked
-// for each word of a peer whose reads fail: it must grow with the peers, not
-// with their square.
+// Measures `StoreDuty::HearsOfStore`, which runs for every heartbeat of a peer
+// whose reads of the store fail. Its cost must grow linearly with the number of
+// peers, not with its square.
 
 #include <algorithm>
 #include <benchmark/benchmark.h>
@@ -14,7 +14,10 @@
 constexpr Instant kNow{ Duration{ 1'000'000 } };
 constexpr int kHalls = 5;
 
-/** Only those on duty have lost the store: each of the others is looked at. */
+/**
+ * Returns a roster in which only the pollers have lost the store, so that the
+ * query has to examine every other peer.
+ */
 Roster
 DutyLost(std::int64_t aPeers)
 {
--- a/packages/membership/include/ridgeferry/membership/Roster.h
+++ b/packages/membership/include/ridgeferry/membership/Roster.h
@@ -16,104 +16,143 @@
 namespace ridgeferry::membership {
 
 /**
- * What the observer of an engine passes on of it, in a few bytes. Whoever
- * holds another state of the engine asks the engine itself for all of it.
+ * Compact summary of an engine, which the instance that observes the engine
+ * sends to its peers. A peer that holds another hash of the engine's state asks
+ * the engine itself for the full state.
  */
 struct EngineDigest
 {
-  std::uint32_t m_engine = 0; ///< Hash of its id.
-  std::uint32_t m_state = 0;  ///< Hash of its state, all but the load.
-  std::int32_t m_running = 0; ///< Requests running or waiting.
-  /** Tokens that the sender's own requests still have to have read there. */
+  std::uint32_t m_engine = 0; ///< Hash of the engine's id.
+  std::uint32_t m_state = 0;  ///< Hash of the engine's state without its load.
+  std::int32_t m_running = 0; ///< Requests that run or wait on the engine.
+  /**
+   * Prompt tokens of the sender's own requests that the engine still has to
+   * prefill.
+   */
   std::int32_t m_work = 0;
   bool operator==(const EngineDigest&) const = default;
 };
 
-/** What an engine does now, as told by whoever ordered a change of it. */
+/**
+ * Role of an engine, as announced by the instance that ordered a change of the
+ * role.
+ */
 enum class EnginePart : std::uint8_t
 {
-  Changing = 0, ///< Between two parts: it takes nothing new.
+  Changing = 0, ///< The engine changes its role and accepts no new requests.
   Reads = 1,
   Generates = 2,
 };
 
-/** News of an engine's part, ahead of the platform's list. */
+/** Role of an engine, gossiped because the platform's list reports it later. */
 struct PartDigest
 {
-  std::uint32_t m_engine = 0; ///< Hash of its id.
+  std::uint32_t m_engine = 0; ///< Hash of the engine's id.
   EnginePart m_part = EnginePart::Changing;
   bool operator==(const PartDigest&) const = default;
 };
 
-/** A shared part of prompts that an engine was given to read. */
+/** A shared prompt prefix segment that an engine was ordered to prefill. */
 struct ReadDigest
 {
   std::uint32_t m_part = 0;
-  std::uint32_t m_engine = 0; ///< Hash of its id.
+  std::uint32_t m_engine = 0; ///< Hash of the engine's id.
   bool operator==(const ReadDigest&) const = default;
 };
 
-/** An upstream ended while the sender had it run a call, or that call has run
- * well since. */
+/**
+ * Reports that an upstream crashed while it ran a call of the sender, or, with
+ * `m_cleared`, that the call has completed successfully since.
+ */
 struct EndingDigest
 {
-  std::uint64_t m_callHigh = 0; ///< Digest of the call's content, first half.
+  /** First half of the digest of the call's content. */
+  std::uint64_t m_callHigh = 0;
   std::uint64_t m_callLow = 0;
-  std::uint64_t m_life = 0; ///< Hash of the upstream's life.
-  bool m_cleared = false;   ///< It is not held against the call any more.
+  std::uint64_t m_life = 0; ///< Hash of the upstream's incarnation.
+  bool m_cleared = false;   ///< The crash no longer counts against the call.
   bool operator==(const EndingDigest&) const = default;
 };
 
 /**
- * How far an instance has read the tables that it follows, so that one whose
- * own read hangs learns that it is behind.
+ * How far an instance has read the tables that it follows. Instances gossip it,
+ * so that an instance whose own read hangs learns that it is behind.
  */
 struct StoreView
 {
-  StorePosition m_config;  ///< At the last change that it read.
-  StorePosition m_members; ///< The same, of the upstreams.
-  bool m_lost = false;     ///< Its reads fail.
-  /** Its reads of upstreams have gone on for so long that whatever had lapsed
-   * before is back or gone. */
+  StorePosition m_config; ///< Position of the last configuration change read.
+  /** Position of the last change of the upstreams read. */
+  StorePosition m_members;
+  bool m_lost = false; ///< The instance's reads of the store fail.
+  /**
+   * The instance's reads of the upstreams have succeeded for so long that every
+   * row that had expired before has been either renewed or removed.
+   */
   bool m_steady = false;
-  /** For how long its reads of upstreams have gone on without a failure;
-   * nothing: they fail, or it makes none. */
+  /**
+   * How long the instance's reads of the upstreams have succeeded without a
+   * failure; std::nullopt if they fail or if the instance makes no such reads.
+   */
   std::optional<Duration> m_readsFor = {};
   bool operator==(const StoreView&) const = default;
 };
 
-/** What an instance says of itself to its peers, every heartbeat. */
+/** State that an instance sends to its peers in every heartbeat. */
 struct Heartbeat
 {
   std::string m_instance;
-  /** Start time of the process: a later life of the same instance has a
-   * higher one. */
+  /**
+   * Start time of the process. A later process of the same instance has a
+   * higher value, unless the clock was set back.
+   */
   std::uint64_t m_incarnation = 0;
   std::string m_hall;
-  std::string m_peerAddress; ///< IP:PORT, also where the heartbeat comes from.
+  /** IP:PORT of the sender; it sends its heartbeats from this address. */
+  std::string m_peerAddress;
   bool m_ready = false;
   bool m_leaving = false;
-  std::uint64_t m_revision = 0; ///< Configuration in force.
-  /** Upstreams known to be leaving; spread so that a process cut off from the
-   * platform's list learns of them. */
+  std::uint64_t m_revision = 0; ///< Revision of the configuration in force.
+  /**
+   * Upstreams known to be leaving. They are gossiped so that a process that
+   * cannot reach the platform's list learns of them.
+   */
   std::vector<UpstreamLife> m_leavingUpstreams;
-  std::vector<EngineDigest> m_engines; ///< Those that it observes.
-  /** `m_engines` is what all instances of its hall have under way together. */
+  std::vector<EngineDigest> m_engines; ///< Engines that the sender observes.
+  /**
+   * If true, the loads in `m_engines` are sums over all instances of the
+   * sender's data centre.
+   */
   bool m_tellsHall = false;
-  std::vector<PartDigest> m_parts; ///< Engines whose part it changes.
-  std::vector<ReadDigest> m_reads; ///< That it ordered lately.
-  /** Hashes of services whose engines it found unable to read prompts beside
-   * the output. */
+  /** Engines whose role the sender is changing. */
+  std::vector<PartDigest> m_parts;
+  /** Prefills that the sender ordered recently. */
+  std::vector<ReadDigest> m_reads;
+  /**
+   * Hashes of the services whose engines the sender found unable to prefill
+   * prompts while they decode.
+   */
   std::vector<std::uint32_t> m_apart;
-  std::optional<StoreView> m_store;    ///< Nothing: it follows no tables.
-  std::vector<EndingDigest> m_endings; ///< That it saw lately.
-  /** Names the set of calls that it holds in quarantine; nothing: it has not
-   * learned yet which there are. */
+  /**
+   * How far the sender has read the store; std::nullopt if it follows no
+   * tables.
+   */
+  std::optional<StoreView> m_store;
+  /** Crashes that the sender observed recently. */
+  std::vector<EndingDigest> m_endings;
+  /**
+   * Fingerprint of the set of calls that the sender holds in quarantine;
+   * std::nullopt if the sender has not learned yet which calls are quarantined.
+   */
   std::optional<std::uint64_t> m_heldCalls;
   bool operator==(const Heartbeat&) const = default;
 };
 
-/** The platform's lagging list: it only seeds, and says who has ended. */
+/**
+ * An instance in the platform's list. The list lags behind, so the roster uses
+ * it only to find addresses of peers from which no heartbeat has arrived, to
+ * estimate the number of peers, and to keep listed peers that have become
+ * unresponsive.
+ */
 struct ListedInstance
 {
   std::string m_instance;
@@ -126,7 +165,7 @@
 };
 struct InstancesListed
 {
-  std::vector<ListedInstance> m_instances; ///< Of this hall, without itself.
+  std::vector<ListedInstance> m_instances; ///< Instances other than this one.
 };
 struct RosterTick
 {};
@@ -136,19 +175,24 @@
 {
   std::string m_peerAddress;
 };
-/** To one instance of another hall: what all of this hall have under way. */
+/**
+ * Sends the summed loads of this data centre to one instance of another data
+ * centre.
+ */
 struct SendHallLoads
 {
   std::string m_peerAddress;
 };
-/** An earlier life of this instance has ended for sure: a later one bound its
- * address. */
+/**
+ * An earlier incarnation of the instance has certainly ended, because a later
+ * one has bound its address.
+ */
 struct IncarnationEnded
 {
   std::string m_instance;
   std::uint64_t m_incarnation = 0;
 };
-/** An upstream is leaving, as a peer says. */
+/** A peer reported that an upstream is leaving. */
 struct UpstreamLeaving
 {
   UpstreamLife m_upstream;
@@ -158,25 +202,33 @@
 
 struct RosterTimes
 {
-  /** Least time between two heartbeats to a peer. */
+  /** Minimum time between two heartbeats to a peer. */
   Duration m_heartbeatEvery{ 1000 };
-  /** Time that each peer adds to it, so that the bytes of a large hall stay
-   * within their budget: 45 peers hear of each other every 2 s. */
+  /**
+   * Time per peer between two rounds of heartbeats, where it exceeds
+   * `m_heartbeatEvery`. It bounds the bytes sent in a large data centre: 45
+   * peers receive a heartbeat every 2 s.
+   */
   Duration m_heartbeatEachPeer{ 45 };
   /**
-   * Longest time between two heartbeats to all peers. Where they would take
-   * longer, those of the own hall are told as often as the hall's size allows,
-   * those of other halls every `m_farEvery`, and what a hall has under way goes
-   * to one instance of each other hall a heartbeat: all instances of a hall
-   * together keep each instance elsewhere up to date.
+   * Maximum time between two rounds of heartbeats to all peers. If a round to
+   * all peers takes longer, heartbeats are sent by data centre: peers in the
+   * own data centre receive one as often as its size allows, peers in other
+   * data centres one every `m_farEvery`. In addition, each round sends the
+   * summed loads of the own data centre to one instance of each other data
+   * centre, so that together the instances of a data centre keep every instance
+   * elsewhere up to date.
    */
   Duration m_mostToAll = Duration::max();
   Duration m_farEvery{ 2400 };
-  /** Missed heartbeats after which a peer counts as dead for sharing limits
-   * and rank; of another hall that is told seldom, `m_farDeadAfterMissed`. */
+  /**
+   * Number of missed heartbeats after which a peer counts as dead for the
+   * sharing of limits and for ranks. `m_farDeadAfterMissed` applies instead to
+   * peers in other data centres while heartbeats are sent by data centre.
+   */
   int m_deadAfterMissed = 4;
   int m_farDeadAfterMissed = 4;
-  /** Silence after which an unlisted peer is forgotten. */
+  /** Time without a heartbeat after which an unlisted peer is removed. */
   Duration m_forgetAfter{ 60'000 };
 };
 
@@ -185,46 +237,63 @@
   Heartbeat m_last;
   Instant m_heardAt;
   bool m_alive = false;
-  std::uint64_t m_hash = 0; ///< Of its name: its place in the order of duty.
+  /**
+   * Hash of the instance's name; orders the instances for the choice of store
+   * pollers.
+   */
+  std::uint64_t m_hash = 0;
 };
 
 /**
- * Who the peers of a hall are, from the platform's list and from heartbeats.
- * Soft state only: nothing that must hold depends on it. A pure state machine;
- * not thread-safe.
+ * Tracks the peers of this instance, from the platform's list and from
+ * heartbeats. This is soft state: no guarantee of the system depends on it. A
+ * pure state machine; not thread-safe.
  */
 class Roster
 {
 public:
-  /** `aHall`: of this instance. */
+  /** `aHall` is the data centre of this instance. */
   Roster(std::string aInstance,
          RosterTimes aTimes = {},
          std::string aHall = {});
 
   std::vector<RosterAction> Handle(const RosterEvent& aEvent, Instant aNow);
 
-  /** Peers heard of, by instance. */
+  /** Returns the peers from which heartbeats were received, by instance. */
   const std::map<std::string, PeerView, std::less<>>& Peers() const
   {
     return m_peers;
   }
-  /** Live instances of the hall, with this one; never less than 1. */
+  /**
+   * Returns the number of live instances that are not leaving, this one
+   * included; at least 1.
+   */
   std::size_t LiveCount() const;
   /**
-   * Place of this instance among the live ones in a rendezvous order for
-   * `aTopic`; 0 is first. Live peers that agree on who lives agree on it.
+   * Returns the rank of this instance among the live ones in a rendezvous order
+   * for `aTopic`; 0 is first. Instances that agree on which peers are alive
+   * compute the same order.
    */
   std::size_t Rank(std::string_view aTopic) const;
-  /** Time between two heartbeats to the peers that are told most often. */
+  /**
+   * Returns the time between two heartbeats to the peers that receive them most
+   * often.
+   */
   Duration HeartbeatInterval() const;
-  /** Time between two heartbeats of that peer. */
+  /** Returns the time between two heartbeats of `aPeer`. */
   Duration IntervalOf(const PeerView& aPeer) const;
-  /** Whether other halls are told as sums: see `RosterTimes::m_mostToAll`. */
+  /**
+   * Returns whether other data centres receive summed loads; see
+   * `RosterTimes::m_mostToAll`.
+   */
   bool TellsByHall() const;
   bool IsNear(const PeerView& aPeer) const;
-  /** Addresses of all peers of this hall that were heard. */
+  /**
+   * Returns the addresses of all known peers in the own data centre, dead ones
+   * included.
+   */
   std::set<std::string> NearAddresses() const;
-  /** Addresses of live peers that are not leaving. */
+  /** Returns the addresses of live peers that are not leaving. */
   std::vector<std::string> LiveAddresses() const;
 
 private:
@@ -248,8 +317,11 @@
   std::map<std::string, std::string, std::less<>> m_listed;
   std::optional<Instant> m_nextHeartbeat;
   std::optional<Instant> m_nextFar;
-  std::ptrdiff_t m_near = 0; ///< Peers of this hall.
-  std::size_t m_turn = 0;    ///< Whose turn it is in the other halls.
+  std::ptrdiff_t m_near = 0; ///< Number of peers in the own data centre.
+  /**
+   * Selects the instance of each other data centre that receives the next sums.
+   */
+  std::size_t m_turn = 0;
 };
 
 } // namespace ridgeferry::membership
--- a/packages/membership/include/ridgeferry/membership/StoreDuty.h
+++ b/packages/membership/include/ridgeferry/membership/StoreDuty.h
@@ -7,7 +7,7 @@
 
 namespace ridgeferry::membership {
 
-/** The instance that asks. */
+/** The instance that asks whether it is a poller of the store. */
 struct DutyAsker
 {
   std::string m_instance;
@@ -16,9 +16,10 @@
 };
 
 /**
- * Which instances keep an eye on the store for all: two of each hall, the first
- * ones by hash of those alive, so that the loss of one leaves one. Everybody
- * finds the same ones by what everybody hears.
+ * Decides which instances poll the store for all others: the two with the
+ * lowest hashes of their names among the live instances of each data centre, so
+ * that one remains if the other is lost. Instances that received the same
+ * heartbeats choose the same pollers.
  *
  * Reads the roster; pure, not thread-safe.
  */
@@ -26,42 +27,59 @@
 {
 public:
   static constexpr std::size_t kInHall = 2;
-  /** Talks within which somebody on duty must have been heard: one that is lost
-   * is chance, three in a row are not. */
+  /**
+   * A poller counts as heard if a heartbeat of it arrived within so many
+   * heartbeat intervals: a single lost heartbeat is chance, three lost in a row
+   * are not.
+   */
   static constexpr int kFreshTalks = 3;
 
-  /** Precondition: the roster outlives it. */
+  /** `aRoster` must outlive this object. */
   StoreDuty(const Roster& aRoster, DutyAsker aAsker);
 
-  /** Whether any other instance on duty is heard whose reads succeed. */
+  /**
+   * Returns whether recent heartbeats have arrived from at least one other
+   * poller whose reads of the store succeed.
+   */
   bool HearsOfStore(Instant aNow) const;
   /**
-   * Since when some instance of a hall has read the store without a failure,
-   * of those that are heard now and read that generation of it or a later one;
-   * nothing: none is.
+   * Returns since when some instance of the data centre `aHall` has read the
+   * store without a failure. Only instances count whose heartbeats are recent
+   * and that read generation `aGeneration` of the store or a later one;
+   * std::nullopt if there are none.
    */
   std::optional<Instant> ReadsSince(std::string_view aHall,
                                     StoreGeneration aGeneration,
                                     Instant aNow) const;
-  /** Whether the asker is on duty: by its place, or as it hears of nobody whose
-   * reads succeed. */
+  /**
+   * Returns whether the asking instance must poll the store: because it is one
+   * of the pollers of its data centre, or because no poller whose reads succeed
+   * is heard (see `HearsOfStore`).
+   */
   bool IsOnDuty(Instant aNow) const;
-  /** Whether it is by its place. */
+  /**
+   * Returns whether the asking instance is one of the pollers of its data
+   * centre.
+   */
   bool IsOnDutyByPlace() const;
 
 private:
   bool IsFresh(const PeerView& aPeer, Instant aNow) const;
-  /** By hall: the highest hash of a name that is on duty there. */
+  /**
+   * By data centre: the highest hash of a name that belongs to a poller there.
+   */
   using Bounds = std::map<std::string_view, std::uint64_t>;
-  /** Of all halls in one look at the peers. A look for each peer took 0.83 ms
-   * at 300 of them, this takes 0.018 ms (`membership_bench`), for each word of
-   * a peer whose reads fail: some 300 a second behind a loss of all instances.
+  /**
+   * Computes the bounds of all data centres in one pass over the peers. One
+   * pass for each peer took 0.83 ms with 300 peers, this takes 0.018 ms
+   * (`membership_bench`). It runs for every heartbeat of a peer whose reads
+   * fail: some 300 a second after all instances have lost the store.
    */
   Bounds DutyBounds() const;
 
   const Roster& m_roster;
   DutyAsker m_asker;
-  std::uint64_t m_hash; ///< Of the asker's name.
+  std::uint64_t m_hash; ///< Hash of the asking instance's name.
 };
 
 } // namespace ridgeferry::membership
--- a/packages/membership/src/Roster.cpp
+++ b/packages/membership/src/Roster.cpp
@@ -45,9 +45,10 @@
   const std::uint64_t known = peer.m_last.m_incarnation;
   const bool moved = peer.m_last.m_hall != aHeartbeat.m_hall;
   if (aHeartbeat.m_incarnation < known && peer.m_alive) {
-    return; // Late news of an earlier life.
+    return; // This is a delayed heartbeat of an earlier incarnation.
   }
-  // From one that was silent it is a new life whose clock was set back.
+  // A lower incarnation from a peer that counted as dead belongs to a new
+  // process, whose clock was set back.
   if (known != 0 && aHeartbeat.m_incarnation > known) {
     aActions.emplace_back(IncarnationEnded{ aHeartbeat.m_instance, known });
   }
@@ -139,7 +140,8 @@
       halls[peer.m_last.m_hall].push_back(&peer);
     }
   }
-  // Instances begin at different places, so that their turns spread.
+  // `m_turn` starts at the hash of the own name, so that the instances of this
+  // data centre choose different recipients.
   ++m_turn;
   for (const auto& [hall, peers] : halls) {
     const PeerView& peer = *peers[m_turn % peers.size()];
--- a/packages/membership/tests/RosterTest.cpp
+++ b/packages/membership/tests/RosterTest.cpp
@@ -51,12 +51,14 @@
   EXPECT_EQ(Count<IncarnationEnded>(
               roster.Handle(HeartbeatArrived{ From("b", 6) }, kStart)),
             1U);
-  // Late news of the earlier life change nothing.
+  // A delayed heartbeat of the earlier incarnation changes nothing.
   roster.Handle(HeartbeatArrived{ From("b", 5) }, kStart);
   EXPECT_EQ(roster.Peers().at("b").m_last.m_incarnation, 6U);
 }
 
-// The time of day may have been set back between two lives of an instance.
+// The clock may have been set back between two incarnations of an instance. Its
+// heartbeats must then be accepted once the earlier incarnation counts as dead,
+// although their incarnation is lower.
 TEST(RosterTest, ASilentPeerMayComeBackWithAnEarlierStart)
 {
   Roster roster("a");
@@ -125,7 +127,10 @@
                                            IntervalCase{ 44, 1980 },
                                            IntervalCase{ 90, 4050 }));
 
-/** Instances of some halls that tell each other in virtual time. */
+/**
+ * Simulates instances in several data centres that exchange heartbeats in
+ * virtual time.
+ */
 class HallsWorld
 {
 public:
@@ -158,7 +163,10 @@
     return out;
   }
 
-  /** One tick of all. One word of `aLostOneIn` is lost; 0: none is. */
+  /**
+   * Runs one tick of every instance. One message in `aLostOneIn` is lost; with
+   * 0 none is.
+   */
   void Step(int aLostOneIn)
   {
     m_now += Duration{ 40 };
@@ -179,7 +187,10 @@
     }
   }
 
-  /** Ages of what each instance knows of each hall, rising. */
+  /**
+   * Returns the ages of the latest sums that each instance has received from
+   * each other data centre, in ascending order.
+   */
   std::vector<Duration> Ages() const
   {
     std::vector<Duration> out;
@@ -219,7 +230,8 @@
 
   int m_halls;
   std::vector<Roster> m_rosters;
-  std::vector<std::vector<Instant>> m_heardOf; ///< By instance and hall.
+  /** Time of the latest sums, by receiving instance and data centre. */
+  std::vector<std::vector<Instant>> m_heardOf;
   std::size_t m_sent = 0;
   Instant m_now = kStart;
 };
@@ -235,9 +247,10 @@
 class RosterHallsTest : public ::testing::TestWithParam<HallsCase>
 {};
 
-// A word of a hall holds loads that are a quarter of a second old at most, half
-// of that in the middle: with it what is known of an engine is 0.4 s old in the
-// middle, where told to all it was 0.6 s and more.
+// Guards against stale loads of engines in other data centres. The loads in a
+// message are a quarter of a second old at most and half of that in the median,
+// so the load known of an engine is 0.4 s old in the median; with heartbeats to
+// all peers it was 0.6 s and more.
 TEST_P(RosterHallsTest, EachInstanceHearsOfEachHallOften)
 {
   const HallsCase& that = GetParam();
@@ -246,7 +259,7 @@
     world.Step(that.m_lostOneIn);
   }
   const std::size_t before = world.Sent();
-  constexpr int kSteps = 50; // Two seconds.
+  constexpr int kSteps = 50; // 50 steps of 40 ms are two seconds.
   std::vector<Duration> ages;
   for (int i = 0; i < kSteps; ++i) {
     world.Step(that.m_lostOneIn);
@@ -256,13 +269,15 @@
   std::sort(ages.begin(), ages.end());
   EXPECT_LE(ages[ages.size() / 2], Duration{ 300 });
   EXPECT_LE(ages[ages.size() * 95 / 100], Duration{ 1000 });
-  // Told to all each 4 ms times peers it was 250 a second for each instance.
+  // A heartbeat to all peers every 4 ms times the number of peers would send
+  // 250 messages a second per instance.
   const double each = static_cast<double>(world.Sent() - before) /
                       (that.m_halls * that.m_inHall) / 2.0;
   EXPECT_LE(each, 450);
   const std::size_t all = static_cast<std::size_t>(that.m_halls) *
                           static_cast<std::size_t>(that.m_inHall);
-  // Who is told seldom may be missed for a moment where words are lost.
+  // A peer that receives heartbeats seldom may count as dead for a moment where
+  // messages are lost.
   EXPECT_GE(world.Of(0).LiveCount(),
             that.m_lostOneIn == 0 ? all : all * 9 / 10);
   EXPECT_TRUE(world.Of(0).TellsByHall());
--- a/packages/membership/tests/StoreDutyTest.cpp
+++ b/packages/membership/tests/StoreDutyTest.cpp
@@ -8,7 +8,10 @@
 
 constexpr Instant kStart{ Duration{ 1'000'000 } };
 
-/** Names of one hall in the order in which they take duty. */
+/**
+ * Returns names of instances in the order in which they become pollers of their
+ * data centre.
+ */
 std::vector<std::string>
 ByDuty(std::size_t aCount)
 {
@@ -34,15 +37,22 @@
   return out;
 }
 
-/** What the third instance of a hall by order of duty hears, and what it makes
- * of it. */
+/**
+ * The heartbeats that the third instance of a data centre, which is no poller
+ * by its hash, receives, and whether it must poll the store.
+ */
 struct DutyCase
 {
   const char* m_name;
-  bool m_firstLost; ///< The first two of the hall, on duty.
+  /** Whether the reads of the first and of the second poller fail. */
+  bool m_firstLost;
   bool m_secondLost;
   bool m_firstHeard;
-  bool m_otherHall; ///< One on duty in another hall is heard, and reads.
+  /**
+   * A heartbeat arrived from a poller of another data centre whose reads
+   * succeed.
+   */
+  bool m_otherHall;
   bool m_onDuty;
 };
 
@@ -107,7 +117,8 @@
   EXPECT_EQ(onDuty, 2U);
 }
 
-// One that stops gives its duty to the next.
+// A leaving instance must hand over to the next one; otherwise its data centre
+// is left with one poller.
 TEST(StoreDutyTimeTest, OneThatLeavesIsNotOnDuty)
 {
   const auto names = ByDuty(3);
@@ -120,8 +131,11 @@
   EXPECT_TRUE(duty.IsOnDuty(kStart));
 }
 
-/** What one instance of a hall says of its reads, and since when that hall then
- * counts as reading, seen half a second after the start. */
+/**
+ * What the heartbeat of one instance says of its reads of the store, and since
+ * when its data centre then counts as reading, evaluated half a second after
+ * the start.
+ */
 struct ReadsCase
 {
   const char* m_name;
@@ -129,7 +143,8 @@
   std::optional<int> m_readsForMs;
   bool m_lost;
   int m_heardBeforeMs;
-  std::optional<int> m_sinceMs; ///< From the start; negative: before it.
+  /** Relative to `kStart`; negative if before it. */
+  std::optional<int> m_sinceMs;
 };
 
 class HallReadsTest : public ::testing::TestWithParam<ReadsCase>
@@ -166,8 +181,9 @@
     ReadsCase{ "SilentSince", "hall", 900, false, 9000, {} }),
   [](const auto& aInfo) { return std::string(aInfo.param.m_name); });
 
-// The store came back from an older copy: who read it before says nothing of
-// the rows that it has now.
+// After the store was restored from an older copy, reads of the earlier
+// generation say nothing about the rows that it has now, so they must not
+// count.
 TEST(HallReadsGenerationTest, ReadsOfAnEarlierGenerationDoNotCount)
 {
   Roster roster("self");
