--- a/packages/quarantine/include/ridgeferry/quarantine/BrokenRuns.h
+++ b/packages/quarantine/include/ridgeferry/quarantine/BrokenRuns.h
@@ -13,42 +13,68 @@
 namespace ridgeferry::quarantine {
 
 /**
- * Runs of this instance that broke off, until it is known whether their
- * upstream has ended or only the connection. An upstream has ended when nobody
- * listens at its address, when its list entry goes or when a later life of it
- * is listed; it lives when it answers something that was begun after the break.
- * What shows neither within `kUnresolvedFor` is forgotten. Decisions only; not
+ * Tracks runs of calls whose connection broke, until it is known whether the
+ * upstream crashed or only the connection failed. An upstream has crashed when
+ * nobody listens at its address, when its entry in the platform's list is
+ * removed, or when a later incarnation of it is listed. An upstream is alive
+ * when it answers a request that was sent after the break. A run for which
+ * neither is known within `kUnresolvedFor` is removed. Decisions only; not
  * thread-safe.
  */
 class BrokenRuns
 {
 public:
-  /** The list drops an upstream that says nothing after 3.6 s and tells of it
-   * within another second. */
+  /**
+   * The platform's list removes an upstream that has sent nothing for 3.6 s and
+   * reports the removal within another second.
+   */
   static constexpr Duration kUnresolvedFor{ 6000 };
-  /** Bound of what is kept; more than the runs of some upstreams that end at
-   * once. Further ones accuse nobody. */
+  /**
+   * Maximum number of runs tracked. It is more than the runs of several
+   * upstreams that crash at the same time. Further broken runs are not
+   * recorded, so their calls are not suspected.
+   */
   static constexpr std::size_t kMost = 4096;
 
   void NoteBroken(const CallDigest& aCall,
                   const UpstreamLife& aUpstream,
                   Instant aNow);
-  /** This life has ended: the calls that it ran, each once, and when they broke
-   * off first. */
+  /**
+   * Records that this incarnation of the upstream crashed. Returns each call
+   * that broke on it once, with the time of its first break, and stops tracking
+   * these runs.
+   */
   std::map<CallDigest, Instant> NoteEnded(const UpstreamLife& aUpstream);
-  /** The call ran well elsewhere: no end is held against it. */
+  /**
+   * Records that the call completed successfully elsewhere, so that no crash
+   * counts against it for the runs tracked so far.
+   */
   void NoteServed(const CallDigest& aCall);
-  /** It has answered what was begun at `aSince`. */
+  /**
+   * Records that the upstream has answered a request that was sent at `aSince`.
+   */
   void NoteAlive(std::string_view aUpstream, Instant aSince);
-  /** Lives of which it is not known yet whether they ended under the call. */
+  /**
+   * Returns the number of upstreams on which the call broke and of which it is
+   * not known yet whether they crashed.
+   */
   std::size_t Unresolved(const CallDigest& aCall) const;
-  /** Lives of an upstream of which it is not known yet whether they ended. */
+  /**
+   * Returns the incarnations of the upstream of which it is not known yet
+   * whether they crashed.
+   */
   std::vector<UpstreamLife> LivesOf(std::string_view aUpstream) const;
-  /** Ids of upstreams of which that is not known yet. */
+  /**
+   * Returns the ids of upstreams of which it is not known yet whether they
+   * crashed.
+   */
   std::set<std::string> Upstreams() const;
   bool IsEmpty() const { return m_runs.empty(); }
   void Tick(Instant aNow);
-  /** This instance stood still: what broke meanwhile tells nothing. */
+  /**
+   * Must be called after this process was suspended: runs that broke meanwhile
+   * say nothing about their upstreams.
+   */
   void ForgetAll() { m_runs.clear(); }
 
 private:
@@ -59,7 +85,7 @@
     Instant m_at;
   };
 
-  std::vector<Run> m_runs; ///< By the time of the break.
+  std::vector<Run> m_runs; ///< Runs in the order in which they broke.
 };
 
 } // namespace ridgeferry::quarantine
--- a/packages/quarantine/include/ridgeferry/quarantine/CallDigest.h
+++ b/packages/quarantine/include/ridgeferry/quarantine/CallDigest.h
@@ -8,18 +8,22 @@
 
 namespace ridgeferry::quarantine {
 
-/** All that makes two requests the same call; ids and times left are not in it,
- * as each try has its own. */
+/**
+ * The parts of a request that decide whether two requests are the same call.
+ * Request ids and deadlines are not among them, because each attempt has its
+ * own.
+ */
 struct CallContent
 {
-  std::string_view m_caller; ///< Its credentials; empty: it shows none.
+  /** Credentials of the caller; empty if it sends none. */
+  std::string_view m_caller;
   std::string_view m_method;
   std::string_view m_host;
   std::string_view m_target; ///< Path and query as sent.
   std::string_view m_body;
 };
 
-/** Names a call by its content, the same at all instances. */
+/** Identifies a call by its content. All instances compute the same digest. */
 struct CallDigest
 {
   std::uint64_t m_high = 0;
@@ -32,17 +36,20 @@
 };
 
 /**
- * Digest of a call. Cryptographic (BLAKE2b), so that no caller can make one
- * that collides with another's call. Thread-safe.
+ * Returns the digest of a call. The hash is cryptographic (BLAKE2b), so that no
+ * caller can craft a call that collides with another caller's. Thread-safe.
  */
 CallDigest
 DigestOf(const CallContent& aContent);
 
-/** 32 hexadecimal digits. Thread-safe. */
+/** Returns the digest as 32 hexadecimal digits. Thread-safe. */
 std::string
 FormatDigest(const CallDigest& aDigest);
 
-/** Nothing: not of the form that `FormatDigest` gives. Thread-safe. */
+/**
+ * Parses the form that `FormatDigest` returns; std::nullopt for any other text.
+ * Thread-safe.
+ */
 std::optional<CallDigest>
 ParseDigest(std::string_view aText);
 
--- a/packages/quarantine/include/ridgeferry/quarantine/EndingsText.h
+++ b/packages/quarantine/include/ridgeferry/quarantine/EndingsText.h
@@ -11,13 +11,17 @@
 namespace ridgeferry::quarantine {
 
 /**
- * Endings as JSON, for peers and for the store; times are wall-clock ones, so
- * that they outlast all processes. Thread-safe.
+ * Returns crash records as a JSON array, for peers and for the store. Times are
+ * written as wall-clock times, so that they stay valid when all processes have
+ * been restarted. Thread-safe.
  */
 std::string
 FormatEndings(std::span<const ToldEnding> aEndings, WallTime aNow);
 
-/** Error: what is wrong with the text. Thread-safe. */
+/**
+ * Parses the output of `FormatEndings`. The error says what is wrong with the
+ * text. Thread-safe.
+ */
 tl::expected<std::vector<ToldEnding>, std::string>
 ParseEndings(std::string_view aText, WallTime aNow);
 
--- a/packages/quarantine/include/ridgeferry/quarantine/Quarantine.h
+++ b/packages/quarantine/include/ridgeferry/quarantine/Quarantine.h
@@ -11,103 +11,166 @@
 
 namespace ridgeferry::quarantine {
 
-/** An upstream ended while it ran a call. */
+/** Records that an upstream crashed while it ran a call. */
 struct Ending
 {
   CallDigest m_call;
-  std::uint64_t m_life = 0; ///< `LifeHash` of the upstream.
-  /** The call has run well elsewhere: this end is not held against it. */
+  /** `LifeHash` of the incarnation of the upstream that crashed. */
+  std::uint64_t m_life = 0;
+  /**
+   * The call has completed successfully elsewhere, so this crash no longer
+   * counts against it.
+   */
   bool m_cleared = false;
   bool operator==(const Ending&) const = default;
 };
 
-/** An ending that another instance tells, or the store. */
+/** A crash record received from another instance or read from the store. */
 struct ToldEnding
 {
   Ending m_ending;
-  Duration m_age{}; ///< How long ago it was seen first, at most.
+  Duration m_age{}; ///< Maximum time since the crash was first observed.
 };
 
-/** Names a life of an upstream, the same at all instances. Thread-safe. */
+/**
+ * Returns a hash of the upstream's incarnation that is the same at all
+ * instances. Thread-safe.
+ */
 std::uint64_t
 LifeHash(const UpstreamLife& aUpstream);
 
-/** What an ending, or a clearing, has made of its call. */
+/** How a crash record has changed the state of its call. */
 enum class Change : std::uint8_t
 {
-  None,      ///< It was known.
-  Suspected, ///< One more end; too few to hold the call.
-  Held,      ///< From now on it is given to no upstream.
-  Cleared,   ///< It is suspected or held no more.
+  /** The record did not change whether the call is suspected or quarantined. */
+  None,
+  /**
+   * One more crash was recorded. The call was not quarantined by it: the
+   * crashes are too few, or it was in quarantine already.
+   */
+  Suspected,
+  Held,    ///< The call is quarantined from now on: it is sent to no upstream.
+  Cleared, ///< The call is neither suspected nor quarantined any more.
 };
 
 /**
- * Calls under which upstreams ended, and which of them are therefore given to
- * no upstream any more.
+ * Records under which calls upstreams crashed, and decides which of these calls
+ * are quarantined, that is, are sent to no upstream any more.
+ *
+ * A call is quarantined once `kEndsToHold` distinct incarnations of upstreams
+ * have crashed while they ran it and it has not completed successfully since.
+ * The quarantine lasts for `kHoldFor` after the last of these crashes. If all
+ * the crashes lie closer together than `kOneCause`, they may have a common
+ * cause other than the call, such as a machine that the upstreams share. The
+ * quarantine is then doubted from `kDoubtFor` after the last crash on, and a
+ * single run may test whether it is justified.
  *
- * A call is held once `kEndsToHold` distinct lives of upstreams have ended
- * while they ran it and it has not run well since; for `kHoldFor` after the
- * last of these ends. Ends that lie closer together than `kOneCause` may have a
- * cause of their own, such as a machine that they share: then the hold is
- * doubted from `kDoubtFor` on, and one run may show whether it is right. All
- * that ran on an upstream that ended is suspected alike: a run that ends well
- * clears its call, and a suspicion lapses after `kSuspectFor`.
+ * All calls that ran on an upstream that crashed are suspected alike. A run
+ * that completes successfully clears its call, and a suspicion expires after
+ * `kSuspectFor`.
  *
- * Endings merge: in whatever order, and how often, instances tell each other of
- * them, all come to hold the same calls, as an end that was cleared stays
- * cleared. Decisions only; not thread-safe.
+ * Crash records merge: whatever the order and the number of copies in which
+ * instances receive them, all instances come to quarantine the same calls,
+ * because a crash that was cleared stays cleared. Decisions only; not
+ * thread-safe.
  */
 class Quarantine
 {
 public:
-  /** One end is chance, and in two a call may have stood beside the cause; each
-   * further one costs what runs on one more upstream. */
+  /**
+   * Number of crashes after which a call is quarantined. One crash may be
+   * chance, and in two crashes the call may have run beside the real cause by
+   * coincidence. Each further crash would cost whatever else runs on one more
+   * upstream.
+   */
   static constexpr std::size_t kEndsToHold = 3;
-  /** Suspected of so many, it is not repeated within one try of its caller. */
+  /**
+   * From so many crashes on, a call is not retried within the same attempt of
+   * its caller.
+   */
   static constexpr std::size_t kEndsToCare = 2;
-  /** Upstreams that are lost together end within milliseconds, and are noticed
-   * within some tens of them. */
+  /**
+   * Crashes that lie closer together than this may have a common cause.
+   * Upstreams that are lost together crash within milliseconds of each other,
+   * and their crashes are noticed within some tens of milliseconds.
+   */
   static constexpr Duration kOneCause{ 100 };
-  /** Long enough for callers that came at once to be answered. */
+  /**
+   * Time after the last crash from which on a quarantine may be doubted. It is
+   * long enough for all callers that sent the call at the same time to be
+   * answered.
+   */
   static constexpr Duration kDoubtFor{ 2000 };
-  /** Callers that come back do so within minutes. */
+  /** Lifetime of a suspicion. Callers that retry do so within minutes. */
   static constexpr Duration kSuspectFor = std::chrono::minutes(10);
-  /** Each lapse costs `kEndsToHold` upstreams if the cause still stands: a day
-   * is what operators need to find it. */
+  /**
+   * Duration of a quarantine. Each expiry costs `kEndsToHold` upstreams if the
+   * cause still stands; operators need a day to find the cause.
+   */
   static constexpr Duration kHoldFor = std::chrono::hours(24);
-  /** Bounds of memory, some 200 bytes each. Suspicions give way, the oldest
-   * first; calls that are held give way only to others that are. */
+  /**
+   * Bounds on memory; each call takes some 200 bytes. The oldest suspected call
+   * is evicted first; a quarantined call is evicted only in favour of another
+   * quarantined one.
+   */
   static constexpr std::size_t kMostSuspects = 4096;
   static constexpr std::size_t kMostHeld = 1024;
-  /** Lives kept of one call. One that was cleared gives way to a new end; what
-   * is beyond ends against it tells nothing more. */
+  /**
+   * Number of incarnations recorded for each call. When they are exhausted, a
+   * new crash replaces one that was cleared; if none was cleared, further
+   * crashes add no information.
+   */
   static constexpr std::size_t kMostLives = 8;
 
-  /** Takes an ending that was seen here or told. */
+  /**
+   * Records a crash that this instance observed or that was reported to it
+   * `aAge` after it happened.
+   */
   Change Note(const Ending& aEnding, Instant aNow, Duration aAge = {});
-  /** The call ran well: its endings that were new to be told as cleared; empty:
-   * it was not suspected. */
+  /**
+   * Records that the call completed successfully. Returns its crash records
+   * that this has cleared, to be sent to the peers; empty if the call was not
+   * suspected.
+   */
   std::vector<Ending> NoteServed(const CallDigest& aCall);
 
   bool IsHeld(const CallDigest& aCall) const;
-  /** It is held, and one run at a time of all instances may try it. */
+  /**
+   * Returns whether the call is quarantined but its crashes may have had a
+   * common cause, so that one run at a time over all instances may test it.
+   */
   bool IsDoubted(const CallDigest& aCall, Instant aNow) const;
-  /** How long it is held from now on, or until it is doubted; 0: it is not. */
+  /**
+   * Returns how long the call stays quarantined from `aNow` on, or how long
+   * until its quarantine is doubted, whichever applies. Returns `kDoubtFor` if
+   * it is doubted already and 0 if the call is not quarantined.
+   */
   Duration HeldFor(const CallDigest& aCall, Instant aNow) const;
-  /** Lives that ended under it and are held against it. */
+  /**
+   * Returns the number of incarnations whose crashes count against the call.
+   */
   std::size_t Ends(const CallDigest& aCall) const;
-  /** Nothing is known of any call. */
+  /** Returns whether no call is recorded. */
   bool IsEmpty() const { return m_calls.empty(); }
   std::size_t Held() const;
   std::size_t Suspected() const;
 
-  /** Forgets what has lapsed; returns the calls that were held until now. */
+  /**
+   * Removes expired calls. Returns those of them that were quarantined until
+   * now.
+   */
   std::vector<CallDigest> Tick(Instant aNow);
 
-  /** Endings for an instance that starts or was cut off, or for the store, at
-   * most so many: of calls with most ends first, then the latest. */
+  /**
+   * Returns at most `aMost` crash records, for an instance that starts or that
+   * was cut off, or for the store. Calls with the most recorded incarnations
+   * come first, then those with the latest crash.
+   */
   std::vector<ToldEnding> Snapshot(Instant aNow, std::size_t aMost) const;
-  /** Two instances that hold the same calls give the same; 0: none. */
+  /**
+   * Returns a value that is the same for two instances that quarantine the same
+   * calls; 0 if no call is quarantined.
+   */
   std::uint64_t Fingerprint() const;
 
 private:
@@ -118,9 +181,11 @@
   };
   struct Call
   {
-    std::map<std::uint64_t, Life> m_lives; ///< By hash.
-    /** Of the ends that are held against it, also of lives beyond
-     * `kMostLives`. */
+    std::map<std::uint64_t, Life> m_lives; ///< Incarnations by `LifeHash`.
+    /**
+     * Times of the first and the last crash that counted against the call, also
+     * of incarnations beyond `kMostLives`.
+     */
     Instant m_firstEnd;
     Instant m_lastEnd;
   };
@@ -128,7 +193,10 @@
 
   static std::size_t EndsOf(const Call& aCall);
   static bool IsHeld(const Call& aCall) { return EndsOf(aCall) >= kEndsToHold; }
-  /** All ends against it may have had one cause. */
+  /**
+   * Returns whether all crashes that count against the call may have had one
+   * common cause.
+   */
   static bool MayHaveOneCause(const Call& aCall)
   {
     return aCall.m_lastEnd - aCall.m_firstEnd < kOneCause;
@@ -136,7 +204,10 @@
   static void NoteEnd(Call& aCall, Instant aEndedAt);
   static Change Accuse(Call& aCall, std::uint64_t aLife, Instant aEndedAt);
   static Change Clear(Call& aCall, std::uint64_t aLife, Instant aEndedAt);
-  /** The oldest one that was cleared; false: none was. */
+  /**
+   * Removes the oldest incarnation whose crash was cleared. Returns false if
+   * there is none.
+   */
   static bool ForgetCleared(Call& aCall);
   static Duration KeptFor(const Call& aCall);
   void MakeRoom();
--- a/packages/quarantine/src/CallDigest.cpp
+++ b/packages/quarantine/src/CallDigest.cpp
@@ -22,7 +22,10 @@
     aBytes.size());
 }
 
-/** With its length, so that no two lists of fields give the same bytes. */
+/**
+ * Adds the field with its length in front, so that no two lists of fields give
+ * the same bytes.
+ */
 void
 AddField(crypto_generichash_state& aState, std::string_view aField)
 {
--- a/packages/quarantine/src/EndingsText.cpp
+++ b/packages/quarantine/src/EndingsText.cpp
@@ -10,7 +10,7 @@
 constexpr const char* kCall = "call";
 constexpr const char* kLife = "life";
 constexpr const char* kCleared = "cleared";
-constexpr const char* kEndedAt = "endedAtMs"; ///< Unix milliseconds.
+constexpr const char* kEndedAt = "endedAtMs"; ///< Unix time in milliseconds.
 
 std::optional<ToldEnding>
 EndingFrom(const nlohmann::json& aItem, WallTime aNow)
@@ -28,7 +28,8 @@
   }
   const Duration now = aNow.time_since_epoch();
   const Duration age = now - Duration(aItem[kEndedAt].get<std::int64_t>());
-  // The writer's clock may be ahead of this one.
+  // The writer's clock may be ahead of this instance's clock, which would give
+  // a negative age.
   return ToldEnding{
     { *call, aItem[kLife].get<std::uint64_t>(), aItem[kCleared].get<bool>() },
     std::max(Duration{}, age)
@@ -56,14 +57,15 @@
 {
   const auto document = nlohmann::json::parse(aText, nullptr, false);
   if (!document.is_array()) {
-    return tl::unexpected(std::string("not a JSON list"));
+    return tl::unexpected(std::string("crash records are not a JSON array"));
   }
   std::vector<ToldEnding> out;
   for (const nlohmann::json& item : document) {
     const auto told = EndingFrom(item, aNow);
     if (!told) {
       return tl::unexpected("entry " + std::to_string(out.size()) +
-                            " needs call, life, cleared and endedAtMs");
+                            " of the crash records needs valid fields call, "
+                            "life, cleared and endedAtMs");
     }
     out.push_back(*told);
   }
--- a/packages/quarantine/src/Quarantine.cpp
+++ b/packages/quarantine/src/Quarantine.cpp
@@ -35,8 +35,9 @@
 Duration
 Quarantine::KeptFor(const Call& aCall)
 {
-  // What was held and then cleared is kept as long: an instance that has not
-  // heard of the clearing would otherwise tell of the ends again.
+  // A call that was quarantined and then cleared is kept as long as one in
+  // quarantine. Otherwise an instance that has not received the clearing would
+  // report the crashes again, and they would count again.
   return aCall.m_lives.size() >= kEndsToHold ? kHoldFor : kSuspectFor;
 }
 
@@ -76,7 +77,7 @@
 Quarantine::Accuse(Call& aCall, std::uint64_t aLife, Instant aEndedAt)
 {
   if (aCall.m_lives.contains(aLife)) {
-    return Change::None; // Also if it was cleared.
+    return Change::None; // The crash is known, and possibly cleared.
   }
   const bool held = IsHeld(aCall);
   NoteEnd(aCall, aEndedAt);
