--- a/packages/quarantine/bench/CallDigestBench.cpp
+++ b/packages/quarantine/bench/CallDigestBench.cpp
@@ -1,4 +1,4 @@
-// What it costs to name a call by its content, by the size of its body.
+// Measures the computation of a call's digest for several body sizes.
 
 #include <benchmark/benchmark.h>
 #include <ridgeferry/quarantine/CallDigest.h>
--- a/packages/quarantine/tests/BrokenRunsTest.cpp
+++ b/packages/quarantine/tests/BrokenRunsTest.cpp
@@ -60,7 +60,7 @@
              kLater,
              {},
              "NotThatOfALaterLife" },
-    // The connection broke, and the upstream has answered since.
+    // The connection broke, but the upstream has answered since.
     EndCase{ [](BrokenRuns& aRuns) {
               aRuns.NoteBroken(kCall, kLife, At(5));
               aRuns.NoteAlive(kLife.m_id, At(5));
@@ -68,7 +68,8 @@
              kLife,
              {},
              "NotOfOneThatLives" },
-    // What it answers now was begun before the break: it may be its last word.
+    // The answer belongs to a request that was sent before the break, so the
+    // upstream may have crashed after it sent the answer.
     EndCase{ [](BrokenRuns& aRuns) {
               aRuns.NoteBroken(kCall, kLife, At(5));
               aRuns.NoteAlive(kLife.m_id, At(4));
--- a/packages/quarantine/tests/CallDigestTest.cpp
+++ b/packages/quarantine/tests/CallDigestTest.cpp
@@ -34,7 +34,8 @@
     OtherCase{ { "key", "POST", "g.example", "/p/x?a=1", "body" }, "Host" },
     OtherCase{ { "key", "POST", "h.example", "/p/x?a=2", "body" }, "Query" },
     OtherCase{ { "key", "POST", "h.example", "/p/x?a=1", "bodz" }, "Body" },
-    // The same bytes in a row, cut at other places.
+    // The fields together have the same bytes as `kContent`, split at other
+    // places.
     OtherCase{ { "keyP", "OST", "h.example", "/p/x?a=1", "body" }, "Cut" },
     OtherCase{ { "key", "POST", "h.example", "/p/x?a=1b", "ody" }, "CutBody" }),
   [](const auto& aInfo) { return std::string(aInfo.param.m_name); });
--- a/packages/quarantine/tests/QuarantineTest.cpp
+++ b/packages/quarantine/tests/QuarantineTest.cpp
@@ -16,10 +16,12 @@
 }
 
 constexpr Duration kMs{ 1 };
-/** Apart enough to have a cause each. */
+/** Crashes this far apart do not count as having a common cause. */
 constexpr Duration kApart = Quarantine::kOneCause;
 
-/** The call ends three upstreams, the last one at `aLast`. */
+/**
+ * Records crashes of three upstreams under the call, the last one at `aLast`.
+ */
 void
 EndThree(Quarantine& aQuarantine, Duration aLast)
 {
@@ -159,7 +161,7 @@
   EXPECT_TRUE(quarantine.IsHeld({ last, last }));
 }
 
-/** Words about a few calls, lives and clearings. */
+/** Draws crash records and clearings of a few calls and incarnations. */
 std::vector<Ending>
 DrawWords()
 {
@@ -179,7 +181,7 @@
   std::vector<Ending> others = words;
   for (const Ending& word : words) {
     if (*rc::gen::arbitrary<bool>()) {
-      others.push_back(word); // Heard twice.
+      others.push_back(word); // The record arrives twice.
     }
   }
   const auto keys = *rc::gen::container<std::vector<int>>(
--- a/packages/quarantine/tests/QuarantineWorldTest.cpp
+++ b/packages/quarantine/tests/QuarantineWorldTest.cpp
@@ -1,5 +1,6 @@
-// Instances, upstreams and one call that ends each upstream that begins it, in
-// virtual time: how many end until no instance sends it any more.
+// Simulates instances, upstreams and one call that crashes every upstream that
+// begins to run it, in virtual time. The tests bound how many upstreams crash
+// until no instance sends the call any more.
 
 #include <algorithm>
 #include <gtest/gtest.h>
@@ -15,28 +16,46 @@
 namespace {
 
 constexpr CallDigest kDeadly{ 1, 1 };
-/** From an end to the word that nobody listens there. */
+/**
+ * Time from a crash until it is known that nobody listens at the upstream's
+ * address.
+ */
 constexpr Duration kDetect{ 5 };
-/** Instances compare what they hold so often. */
+/** Interval at which instances compare which calls they quarantine. */
 constexpr Duration kCompareEvery{ 250 };
-/** More runs than `kMostLateRuns` that begin so long after the third end break
- * the operators' rule. */
+/**
+ * Runs that begin later than this after the third crash are late runs. More
+ * late runs than `kMostLateRuns` break the rule for operators, which limits how
+ * long a call goes on crashing upstreams.
+ */
 constexpr Duration kContact{ 3000 };
 constexpr std::size_t kMostTold = 100;
 constexpr int kMostLateRuns = 3;
 constexpr Duration kUpstreamsBackAfter{ 4000 };
-/** A run that tries a doubted call has shown what it is by then. */
+/**
+ * Minimum time between two test runs of a call whose quarantine is doubted. The
+ * first run has ended by then and has shown whether the call crashes its
+ * upstream.
+ */
 constexpr Duration kTryEvery{ 10'000 };
 
 struct Load
 {
   int m_instances = 3;
   int m_upstreams = 12;
-  Duration m_callEvery{ 80 }; ///< The deadly call, at any instance.
-  Duration m_runsFor{ 100 };  ///< Until its upstream ends.
-  Duration m_talk{ 5 };       ///< Way of a word between instances.
-  double m_lost = 0;          ///< Share of words that are lost.
-  Duration m_startEvery{};    ///< One instance starts anew; 0: none does.
+  /**
+   * Interval between two calls that crash upstreams; each arrives at a random
+   * instance.
+   */
+  Duration m_callEvery{ 80 };
+  /**
+   * Time from the begin of a run until its upstream crashes or the run ends.
+   */
+  Duration m_runsFor{ 100 };
+  Duration m_talk{ 5 }; ///< Delay of a message between instances.
+  double m_lost = 0;    ///< Share of messages that are lost.
+  /** Interval at which one instance restarts; with 0 none does. */
+  Duration m_startEvery{};
   Duration m_length{ 20'000 };
 };
 
@@ -68,14 +87,20 @@
   }
 
   int Ends() const { return m_ends; }
-  /** Runs that were begun later than `kContact` after the third end. */
+  /**
+   * Returns the number of runs begun later than `kContact` after the third
+   * crash.
+   */
   int LateRuns() const { return m_lateRuns; }
 
 private:
   struct Event
   {
     Instant m_at;
-    std::uint64_t m_number = 0; ///< First come, first served.
+    /**
+     * Orders events of the same time by the order in which they were planned.
+     */
+    std::uint64_t m_number = 0;
     std::function<void()> m_what;
     bool operator<(const Event& aOther) const
     {
@@ -137,7 +162,10 @@
     });
   }
 
-  /** One instance at a time may, and one run at a time. */
+  /**
+   * Returns whether the instance may test a call whose quarantine is doubted.
+   * One instance may at a time, here the first, and with one run at a time.
+   */
   bool MayTry(std::size_t aInstance)
   {
     if (aInstance != 0 || m_now < m_nextTry ||
@@ -148,7 +176,10 @@
     return true;
   }
 
-  /** What one does that has just started is not held against it. */
+  /**
+   * Returns whether runs of the instance count as late. They do not count
+   * within `kContact` after its restart.
+   */
   bool IsCalm(const Instance& aInstance) const
   {
     return !aInstance.m_startedAnewAt ||
@@ -168,7 +199,8 @@
       }
     }
     if (m_instances[aInstance].m_life != aLife) {
-      return; // Nobody is left who could tell of it.
+      // The instance that could have reported the crash has restarted since.
+      return;
     }
     m_instances[aInstance].m_broken.NoteBroken(kDeadly, ended, m_now);
     After(kDetect, [this, aInstance, ended] { Detect(aInstance, ended); });
@@ -197,7 +229,10 @@
     });
   }
 
-  /** Each asks one that holds other calls, if there is any. */
+  /**
+   * Every instance compares its fingerprint with that of a random one and takes
+   * over its crash records if they differ.
+   */
   void Compare()
   {
     for (Instance& instance : m_instances) {
@@ -213,7 +248,10 @@
     }
   }
 
-  /** It asks another one before it takes calls. */
+  /**
+   * Restarts a random instance, which reads the crash records of another one
+   * before it accepts calls.
+   */
   void StartAnew()
   {
     const std::size_t at = Draw(m_instances.size());
@@ -241,8 +279,11 @@
   std::optional<Instant> m_thirdEnd;
 };
 
-/** Most ends: those that hold a call, what had been begun until all know, and
- * the one that tries it where ends at once were not proof enough. */
+/**
+ * Returns the maximum number of crashes: those that put the call in quarantine,
+ * those of runs begun before all instances know of them, and that of the test
+ * run if crashes at the same time leave the quarantine doubted.
+ */
 int
 MostEnds(const Load& aLoad)
 {
@@ -292,8 +333,10 @@
       "SlowTalk" }),
   [](const auto& aInfo) { return std::string(aInfo.param.m_name); });
 
-/** With words lost and instances that start anew the ends have no sharp bound;
- * the rule holds all the same. */
+/**
+ * With lost messages and restarted instances the number of crashes has no sharp
+ * bound, but the number of late runs must stay bounded.
+ */
 RC_GTEST_PROP(QuarantineWorldProperty, NothingRunsLongBehindTheThirdEnd, ())
 {
   Load load;
@@ -307,13 +350,15 @@
   load.m_startEvery = Duration(starts ? *rc::gen::inRange(1500, 5000) : 0);
   World world(load, *rc::gen::arbitrary<std::uint64_t>());
   world.Play();
-  // An end whose only witness starts anew is known to nobody, and a doubted
-  // hold is tried.
+  // A crash stays unknown if the only instance that saw it restarts, and a
+  // doubted quarantine is tested by a run, so some late runs are allowed.
   RC_ASSERT(world.LateRuns() <= kMostLateRuns);
 }
 
-/** Upstreams end by chance, several at once, while many callers ask for the
- * same; the call is harmless. */
+/**
+ * Simulates upstreams that crash by chance, several at once, while many callers
+ * send the same harmless call.
+ */
 class PopularWorld
 {
 public:
@@ -464,8 +509,9 @@
   PopularWorld world(load, ends, *rc::gen::arbitrary<std::uint64_t>());
   world.Play();
   RC_ASSERT(!world.IsHeldAnywhere());
-  // Some ends at once hold it until a run that goes on ends well, or until one
-  // tries it that comes to the instance which may.
+  // Several crashes at once quarantine the call until a run in progress
+  // completes successfully, or until a call arrives at the one instance that
+  // may test it.
   const Duration doubt = Quarantine::kDoubtFor + load.m_runsFor +
                          2 * load.m_talk +
                          20 * load.m_instances * load.m_callEvery;
