--- a/packages/claims/include/ridgeferry/claims/Claim.h
+++ b/packages/claims/include/ridgeferry/claims/Claim.h
@@ -14,32 +14,39 @@
 
 enum class ClaimState
 {
-  Open,   ///< Claimed: the call may run or have run.
-  NotRun, ///< The call was given up before it ran: it may be claimed anew.
-  Ran,    ///< The call ran; its answer is recorded.
+  Open, ///< The key is claimed: the call may be running or may have run.
+  /** The call was given up before it ran: the key may be claimed again. */
+  NotRun,
+  Ran, ///< The call ran, and the row holds its answer.
 };
 
-/** A whole answer of an upstream, as kept for a caller's retry. */
+/** A complete answer of an upstream, as recorded for a retry by the caller. */
 struct RecordedAnswer
 {
   int m_status = 0;
   std::string m_contentType;
   std::string m_body;
-  bool m_truncated = false; ///< Too long to keep: the body is empty.
+  /** The body was longer than `kMaxRecordedBody` and was left out. */
+  bool m_truncated = false;
   bool operator==(const RecordedAnswer&) const = default;
 };
 
-/** The row of one call that may not be repeated: one a team and key. */
+/**
+ * The table row of one call that must not run twice. There is one row for each
+ * organisation and idempotency key.
+ */
 struct ClaimRow
 {
-  std::string m_claim; ///< Id of the attempt that claimed it, unique for ever.
-  std::uint64_t m_fingerprint = 0; ///< Hash of the call: path and body.
+  /** Id of the attempt that claimed the key. It is never used again. */
+  std::string m_claim;
+  /** Hash of the path and the body of the call. */
+  std::uint64_t m_fingerprint = 0;
   ClaimState m_state = ClaimState::Open;
   RecordedAnswer m_answer;
   bool operator==(const ClaimRow&) const = default;
 };
 
-/** Longest body kept for a retry, in bytes. */
+/** Maximum size of a body that is recorded for a retry, in bytes. */
 inline constexpr std::size_t kMaxRecordedBody = std::size_t{ 16 } * 1024;
 
 std::string
@@ -59,13 +66,17 @@
 {
   table::CommitResult m_result = table::CommitResult::Unknown;
 };
-/** The call ended: its only run, or the giving up of it. */
+/**
+ * The call has ended: either its only run did, or it was given up before it
+ * ran.
+ */
 struct CallEnded
 {
   Outcome m_outcome = Outcome::MayHaveRun;
-  RecordedAnswer m_answer; ///< For `Ran`.
+  /** Answer of the upstream; used only if the outcome is `Ran`. */
+  RecordedAnswer m_answer;
 };
-/** The wait that `RecordLater` asked for is over. */
+/** The wait that `RecordLater` requested is over. */
 struct RecordDue
 {};
 using ClaimEvent = std::variant<ClaimRead, ClaimWritten, CallEnded, RecordDue>;
@@ -78,41 +89,50 @@
 {
   table::Transaction m_transaction;
 };
-/** The call may be sent now: this action comes at most once. */
+/** The call may be sent now. A claim returns this action at most once. */
 struct RunCall
 {};
-/** An earlier attempt ran: this is its answer. */
+/**
+ * An earlier attempt with the same key ran the call; this is the recorded
+ * answer.
+ */
 struct ReplayAnswer
 {
   RecordedAnswer m_answer;
 };
-/** An earlier attempt of the same key may be running or have run. */
+/**
+ * An earlier attempt with the same key may be running the call or may have run
+ * it.
+ */
 struct OpenElsewhere
 {};
-/** The key was used before with another call. */
+/** The key was used before with a different call. */
 struct KeyReused
 {};
 /**
- * The table could not be asked. This attempt was not sent; of earlier ones
- * with the same key nothing is known.
+ * The table could not be reached. This attempt was not sent; whether earlier
+ * attempts with the same key ran is not known.
  */
 struct StoreUnavailable
 {};
-/** `CallEnded` is settled: this outcome may be told to the caller. */
+/**
+ * The end of the call is settled: this outcome may be reported to the caller.
+ */
 struct ClaimSettled
 {
   Outcome m_outcome = Outcome::MayHaveRun;
 };
 /**
- * The end could not be recorded yet: `RecordDue` is wanted after this wait.
- * The outcome may be told to the caller meanwhile.
+ * The end of the call could not be recorded yet. The owner must send
+ * `RecordDue` after this wait and may report the outcome to the caller before
+ * that.
  */
 struct RecordLater
 {
   Duration m_wait{};
   Outcome m_outcome = Outcome::MayHaveRun;
 };
-/** Nothing to do. */
+/** The event requires no action. */
 struct NoClaimAction
 {};
 using ClaimAction = std::variant<ReadClaim,
@@ -127,33 +147,40 @@
                                  NoClaimAction>;
 
 /**
- * One attempt at a call that may not be repeated: claims its key in the table
- * before the call may be sent, and records how it ended.
+ * One attempt at a call that must not run twice. It claims the key of the call
+ * in the table before the call may be sent, and records how the call ended.
  *
- * Invariants: `RunCall` comes at most once, and only after the row was seen to
- * name this attempt; of all attempts with one key at most one is open at a
- * time; `NotRun` is settled only after the row says so, so that whoever
- * retries may run the call. An end that is known is recorded again and again
- * while the table is away: an open row would tell each retry "may have run"
- * for ever. A pure state machine; not thread-safe.
+ * Invariants: `RunCall` is returned at most once, and only after the row was
+ * seen to name this attempt. Of all attempts with one key, at most one is open
+ * at a time. `NotRun` is settled only after the row says so, so that whoever
+ * retries may run the call. A known end is recorded again and again while the
+ * table is unavailable, because an open row would answer every retry with "may
+ * have run" for ever. A pure state machine; not thread-safe.
  */
 class Claim
 {
 public:
-  /** Reads and writes tried before the table counts as unavailable. */
+  /** Number of reads after which the table counts as unavailable. */
   static constexpr int kMaxTries = 4;
-  /** First wait before an end is recorded again; it doubles. A quarter of a
-   * second: most lost answers of the table are single ones. */
+  /**
+   * First wait before an end is recorded again; each further wait is twice as
+   * long. It is a quarter of a second because most lost answers of the table
+   * are isolated.
+   */
   static constexpr Duration kFirstRecordWait{ 250 };
-  /** Longest such wait: a retry of the caller, who is told to come back after
-   * five seconds, should find the record. */
+  /**
+   * Maximum wait before an end is recorded again. A caller is told to retry
+   * after five seconds; it should find the record by then.
+   */
   static constexpr Duration kLongestRecordWait{ 4000 };
-  /** Rounds of recording before an end is given up: a quarter of an hour,
-   * beyond the longest outage of the table that is planned for (ten minutes).
+  /**
+   * Number of rounds of recording after which the claim gives up. They last a
+   * quarter of an hour, which is longer than the longest outage of the table
+   * that is planned for (ten minutes).
    */
   static constexpr int kMaxRecordRounds = 230;
 
-  /** `aId` must be unique for ever. */
+  /** `aId` must never be used for another attempt. */
   Claim(std::string_view aTeam,
         std::string_view aKey,
         std::string aId,
@@ -168,7 +195,7 @@
     Claiming,
     Running,
     Recording,
-    Waiting, ///< To record again.
+    Waiting, ///< Waits until the end is to be recorded again.
     Done,
   };
 
@@ -187,8 +214,8 @@
   ClaimAction Finish(Outcome aOutcome);
 
   std::string m_key;
-  ClaimRow m_row;               ///< What this attempt writes.
-  table::Version m_version = 0; ///< Of the row as last seen.
+  ClaimRow m_row;               ///< Row that this attempt writes.
+  table::Version m_version = 0; ///< Version of the row as last read or written.
   Step m_step = Step::Claiming;
   int m_tries = 0;
   int m_recordRounds = 0;
--- a/packages/claims/src/Claim.cpp
+++ b/packages/claims/src/Claim.cpp
@@ -31,7 +31,10 @@
   return aName == "ran" ? ClaimState::Ran : ClaimState::Open;
 }
 
-/** Keys come from callers: '/' must not make two keys look alike. */
+/**
+ * Escapes '/' and '%'. Callers choose the keys, and a '/' in one of them must
+ * not make two different pairs of organisation and key give the same row key.
+ */
 std::string
 EscapeKeyPart(std::string_view aPart)
 {
@@ -63,7 +66,8 @@
                       { "fingerprint", aRow.m_fingerprint },
                       { "state", StateName(aRow.m_state) } };
   if (aRow.m_state == ClaimState::Ran) {
-    // The body may be of any bytes, JSON strings may not.
+    // The body may contain any bytes, but JSON strings must be UTF-8, so the
+    // body is written as an array of bytes.
     out["status"] = aRow.m_answer.m_status;
     out["type"] = aRow.m_answer.m_contentType;
     out["truncated"] = aRow.m_answer.m_truncated;
@@ -92,7 +96,8 @@
     }
     return row;
   } catch (const nlohmann::json::exception& error) {
-    return tl::unexpected(std::string("bad claim row: ") + error.what());
+    return tl::unexpected(std::string("cannot decode the claim row: ") +
+                          error.what());
   }
 }
 
@@ -158,8 +163,8 @@
 Outcome
 Claim::KnownOutcome() const
 {
-  // What could not be recorded cannot be promised, but an answer that came
-  // is an answer.
+  // An outcome that is not recorded cannot be promised, except `Ran`: its
+  // answer has arrived.
   return m_row.m_state == ClaimState::Ran ? Outcome::Ran : Outcome::MayHaveRun;
 }
 
@@ -183,7 +188,8 @@
   }
   m_step = Step::Recording;
   m_tries = 0;
-  // Read first: an earlier write may have landed after its answer was lost.
+  // The row is read first, because an earlier write may have taken effect
+  // although its answer was lost.
   return Read();
 }
 
@@ -206,7 +212,7 @@
 Claim::OnWritten(const ClaimWritten& aWritten)
 {
   if (m_step == Step::Running || m_step == Step::Waiting) {
-    return NoClaimAction{}; // A late second answer.
+    return NoClaimAction{}; // This is a late second answer to a write.
   }
   switch (aWritten.m_result) {
     case table::CommitResult::Committed:
@@ -220,8 +226,8 @@
     case table::CommitResult::Unknown:
       return Read();
     case table::CommitResult::NotWritten:
-      // While claiming, nothing is lost by refusing at once; an end that is
-      // known is worth some more tries.
+      // While claiming, the attempt can be refused at once because the call has
+      // not been sent. A known end is worth further tries.
       return m_step == Step::Claiming ? GiveUp() : Read();
   }
   return GiveUp();
@@ -238,8 +244,8 @@
   }
   m_version = aRead.m_result.m_row.m_version;
   if (m_version == 0) {
-    // Not there yet. Written again under the same id: if both writes arrive
-    // only one can commit.
+    // The row does not exist yet. It is written again under the same id; if
+    // both writes arrive, only one can commit.
     return Write();
   }
   const auto row = DecodeClaim(aRead.m_result.m_row.m_value);
@@ -277,7 +283,7 @@
 Claim::OnReadWhileRecording(const ClaimRow& aRow)
 {
   if (aRow.m_claim != m_row.m_claim) {
-    // The row said "not run", and another attempt has claimed it since.
+    // The row said "not run", and another attempt has claimed the key since.
     return Finish(m_row.m_state == ClaimState::Ran ? Outcome::Ran
                                                    : Outcome::NotRun);
   }
--- a/packages/claims/tests/ClaimWorldTest.cpp
+++ b/packages/claims/tests/ClaimWorldTest.cpp
@@ -12,9 +12,9 @@
 namespace {
 
 /**
- * Several attempts at one call, each by a process that may be killed between
- * any two steps; the table's answers come late, in any order, or never, and a
- * write may be lost before or after it takes effect.
+ * Simulates several attempts at one call, each in a process that may be killed
+ * between any two steps. Answers of the table arrive late, in any order, or
+ * never, and a write may be lost before or after it takes effect.
  */
 class ClaimWorld
 {
@@ -42,7 +42,8 @@
       return;
     }
     if (choose.OneIn(25)) {
-      attempt.m_dead = true; // Killed: nothing of it happens any more.
+      // The process is killed; its attempt takes no further steps.
+      attempt.m_dead = true;
       return;
     }
     if (attempt.m_running && choose.OneIn(3)) {
@@ -64,7 +65,7 @@
     bool m_started = false;
     bool m_dead = false;
     bool m_running = false;
-    bool m_sent = false; ///< Its call reached the upstream.
+    bool m_sent = false; ///< The call of this attempt reached the upstream.
   };
 
   void Act(Attempt& aAttempt, const ClaimAction& aAction)
@@ -85,12 +86,14 @@
         [&](const ReplayAnswer& aReplay) {
           ++m_replays;
           if (m_runs == 0 || aReplay.m_answer.m_body != "answer") {
-            m_faults.emplace_back("replayed an answer that there never was");
+            m_faults.emplace_back(
+              "replayed an answer that no run of the call gave");
           }
         },
         [&](const ClaimSettled& aSettled) {
           if (aSettled.m_outcome == Outcome::NotRun && m_runs > 0) {
-            m_faults.emplace_back("\"not run\" of a call that ran");
+            m_faults.emplace_back(
+              "settled as \"not run\" although the call ran");
           }
         },
         [&](const RecordLater&) {
@@ -115,7 +118,8 @@
     m_network.push_back([this, &aAttempt, transaction](bool aLost) {
       if (aLost) {
         Feed(aAttempt, ClaimWritten{ table::CommitResult::Unknown });
-        // It was only slow, and takes effect later.
+        // The write was only slow and takes effect later, unless it never
+        // arrives.
         m_network.push_back([this, transaction](bool aNeverArrives) {
           if (!aNeverArrives) {
             m_table.Commit(transaction);
@@ -140,7 +144,7 @@
     CallEnded ended;
     switch (aHow) {
       case 0:
-        ended.m_outcome = Outcome::NotRun; // Its upstream refused it.
+        ended.m_outcome = Outcome::NotRun; // The upstream refused the call.
         break;
       case 1:
         Run();
@@ -158,7 +162,7 @@
   void Run()
   {
     if (++m_runs > 1) {
-      m_faults.emplace_back("ran twice");
+      m_faults.emplace_back("the call ran twice");
     }
   }
 
@@ -178,7 +182,7 @@
   std::vector<std::function<void(bool)>> m_network;
   int m_runs = 0;
   int m_replays = 0;
-  int m_waits = 0; ///< For the table, to record an end.
+  int m_waits = 0; ///< Number of waits before an end was recorded again.
   std::vector<std::string> m_faults;
 };
 
@@ -187,7 +191,7 @@
   int runs = 0;
   int replays = 0;
   int waits = 0;
-  EXPECT_TRUE(rc::check("at most once", [&]() {
+  EXPECT_TRUE(rc::check("the call runs at most once", [&]() {
     constexpr std::size_t kSteps = 250;
     const auto schedule = *support::AnySchedule(kSteps);
     const auto attempts = *rc::gen::inRange<std::size_t>(2, 6);
@@ -201,11 +205,14 @@
     RC_ASSERT(world.Faults() == std::vector<std::string>());
   }));
   EXPECT_GT(runs, 0) << "no schedule ever ran the call";
-  EXPECT_GT(replays, 0) << "no schedule ever answered from the record";
-  EXPECT_GT(waits, 0) << "no schedule ever kept an end for later";
+  EXPECT_GT(replays, 0) << "no schedule ever replayed a recorded answer";
+  EXPECT_GT(waits, 0) << "no schedule ever waited to record an end again";
 }
 
-/** How the table fails while an end is to be recorded. */
+/**
+ * How the table fails while the end of a call is to be recorded, and the
+ * expected results.
+ */
 struct OutageCase
 {
   const char* m_name;
@@ -218,7 +225,9 @@
 class ClaimOutageTest : public ::testing::TestWithParam<OutageCase>
 {
 protected:
-  /** Answers the claim's reads and writes with failures until it waits. */
+  /**
+   * Answers the claim's reads and writes with failures until the claim waits.
+   */
   RecordLater FailUntilItWaits(ClaimAction aAction)
   {
     constexpr int kMostSteps = 20;
@@ -228,9 +237,11 @@
       }
       const bool writes = std::holds_alternative<WriteClaim>(aAction);
       aAction = writes ? m_claim.Handle(ClaimWritten{ GetParam().m_write })
-                       : m_claim.Handle(ClaimRead{}); // Of no whole answer.
+                       // A `ClaimRead` without a result means that no complete
+                       // answer arrived.
+                       : m_claim.Handle(ClaimRead{});
     }
-    ADD_FAILURE() << "it never waits for the table";
+    ADD_FAILURE() << "the claim did not wait for the table within 20 steps";
     return {};
   }
 
@@ -243,7 +254,10 @@
     ASSERT_TRUE(std::holds_alternative<RunCall>(action));
   }
 
-  /** The table is back: carries out what the claim asks for. */
+  /**
+   * Carries out the reads and writes of the claim on the table, which is
+   * available again.
+   */
   ClaimAction Serve(ClaimAction aAction)
   {
     while (true) {
--- a/packages/config/include/ridgeferry/config/Committer.h
+++ b/packages/config/include/ridgeferry/config/Committer.h
@@ -14,9 +14,11 @@
 enum class SubmitResult
 {
   Accepted,
-  Stale,       ///< Another change came first; nothing was written.
-  Unavailable, ///< Surely not written: the table could not be reached.
-  Unknown,     ///< May have been written: ask later by the change's id.
+  Stale, ///< Another change was committed first; nothing was written.
+  /** The change was certainly not written: the table could not be reached. */
+  Unavailable,
+  /** The change may have been written: the caller can look for its id later. */
+  Unknown,
 };
 
 struct HeadRead
@@ -27,7 +29,7 @@
 {
   table::CommitResult m_result = table::CommitResult::Unknown;
 };
-/** The answer to `ReadChangeRow`. */
+/** Answer to `ReadChangeRow`. */
 struct ChangeRowRead
 {
   table::ReadResult m_result;
@@ -40,7 +42,10 @@
 {
   table::Transaction m_transaction;
 };
-/** Settles a lost answer: whose change holds that revision? */
+/**
+ * Reads the row of the revision after the answer to `WriteChange` was lost. The
+ * id in the row shows whose change holds the revision.
+ */
 struct ReadChangeRow
 {
   std::string m_key;
@@ -48,18 +53,22 @@
 struct SubmitDone
 {
   SubmitResult m_result = SubmitResult::Unknown;
-  Revision m_revision = 0; ///< Of this change, if accepted.
+  /**
+   * Revision of this change if it was accepted; the table's revision if it was
+   * found stale before the write; else 0.
+   */
+  Revision m_revision = 0;
 };
 using CommitAction =
   std::variant<ReadHead, WriteChange, ReadChangeRow, SubmitDone>;
 
 /**
- * Brings one change into the table: read the head, write the change row and
- * the new head in one transaction, and settle a lost answer by reading the
- * change row again, never by writing again. If somebody else's change comes
- * first the submission ends as `Stale`, and the caller checks its change
- * against the newer configuration before it submits anew.
- * A pure state machine for one submission; not thread-safe.
+ * Commits one change to the table. It reads the head and writes the change row
+ * and the new head in one transaction. If the answer is lost, it reads the
+ * change row again to find the result and never writes again. If another change
+ * is committed first, the submission ends as `Stale`, and the caller must check
+ * its change against the newer configuration before it submits again. A pure
+ * state machine for one submission; not thread-safe.
  */
 class Committer
 {
@@ -67,8 +76,8 @@
   static constexpr int kMaxSettleReads = 5;
 
   /**
-   * `aChange` was checked against the revision `aBase`; it is written only as
-   * the direct successor of it.
+   * `aChange` must have been checked against revision `aBase`. It is written
+   * only as the direct successor of that revision.
    */
   Committer(Change aChange, Revision aBase);
 
--- a/packages/config/include/ridgeferry/config/Replica.h
+++ b/packages/config/include/ridgeferry/config/Replica.h
@@ -11,27 +11,28 @@
 
 namespace ridgeferry::config {
 
-/** The head row was read, or a peer named the revision that it holds. */
+/** The head row was read, or a peer announced the revision that it holds. */
 struct RevisionSeen
 {
   Revision m_revision = 0;
-  std::string m_peer; ///< Who holds it; empty: the table.
+  /** Peer that holds the revision; empty if it was read from the table. */
+  std::string m_peer;
 };
 
-/** Rows arrived, from the table or from a peer, in any order. */
+/** Change rows arrived from the table or from a peer, in any order. */
 struct ChangesArrived
 {
   std::vector<Change> m_changes;
 };
 
-/** A whole configuration at one revision arrived (a snapshot). */
+/** A snapshot arrived: the whole configuration at one revision. */
 struct SnapshotArrived
 {
   Revision m_revision = 0;
   std::map<std::string, std::string, std::less<>> m_objects;
 };
 
-/** An earlier fetch brought nothing. */
+/** A fetch that `FetchChanges` started has failed. */
 struct FetchFailed
 {};
 
@@ -44,11 +45,11 @@
                                   FetchFailed,
                                   ReplicaTick>;
 
-/** Read the change rows after `m_after`, from a peer or from the table. */
+/** Requests the change rows after `m_after` from a peer or from the table. */
 struct FetchChanges
 {
   Revision m_after = 0;
-  std::string m_peer; ///< Empty: from the table.
+  std::string m_peer; ///< Peer to read from; empty for the table.
 };
 
 /** A higher revision is now in force in this process. */
@@ -57,7 +58,8 @@
   Revision m_revision = 0;
 };
 
-/** A row that passed its commit cannot be applied: the process is behind. */
+/** A committed change cannot be applied, so this process stays at an older
+ * revision. */
 struct ApplyFailed
 {
   Revision m_revision = 0;
@@ -69,9 +71,10 @@
 /**
  * One process's copy of the configuration.
  *
- * Invariants: the revision in force never falls; changes are applied in the
- * order of their revisions without a gap; whatever a peer or the table names
- * is fetched until it is held. A pure state machine; not thread-safe.
+ * Invariants: the revision in force never decreases. Changes are applied in the
+ * order of their revisions without a gap. Every revision that a peer or the
+ * table announces is fetched until it is in force. A pure state machine; not
+ * thread-safe.
  */
 class Replica
 {
@@ -81,7 +84,7 @@
   std::vector<ReplicaAction> Handle(const ReplicaEvent& aEvent, Instant aNow);
 
   Revision InForce() const { return m_revision; }
-  /** The highest revision that anyone has named. */
+  /** Returns the highest revision that the table or a peer has announced. */
   Revision HighestSeen() const { return m_highestSeen; }
   const declared::Catalog& Catalog() const { return m_catalog; }
 
@@ -97,7 +100,8 @@
   declared::Catalog m_catalog;
   Revision m_revision = 0;
   Revision m_highestSeen = 0;
-  std::string m_source; ///< Who named the highest revision.
+  /** Peer that announced the highest revision; empty for the table. */
+  std::string m_source;
   std::map<Revision, Change> m_pending;
   std::optional<Instant> m_fetchStarted;
 };
--- a/packages/config/src/Change.cpp
+++ b/packages/config/src/Change.cpp
@@ -75,7 +75,8 @@
     }
     return change;
   } catch (const nlohmann::json::exception& error) {
-    return tl::unexpected(std::string("bad change row: ") + error.what());
+    return tl::unexpected(std::string("cannot decode the change row: ") +
+                          error.what());
   }
 }
 
@@ -98,7 +99,8 @@
     return Head{ value.at("revision").get<Revision>(),
                  value.at("change").get<std::string>() };
   } catch (const nlohmann::json::exception& error) {
-    return tl::unexpected(std::string("bad head row: ") + error.what());
+    return tl::unexpected(std::string("cannot decode the head row: ") +
+                          error.what());
   }
 }
 
--- a/packages/config/src/Committer.cpp
+++ b/packages/config/src/Committer.cpp
@@ -79,11 +79,11 @@
     if (found && found->m_id == m_change.m_id) {
       return SubmitDone{ SubmitResult::Accepted, m_change.m_revision };
     }
-    // The revision belongs to another change, so ours can never commit.
+    // The revision belongs to another change, so this one can never commit.
     return SubmitDone{ SubmitResult::Stale, 0 };
   }
-  // Unreadable, or not there yet: the write may still be on its way, so a
-  // missing row proves nothing.
+  // The row is unreadable or does not exist yet. A missing row proves nothing,
+  // because the write may still be on its way.
   if (++m_settleReads >= kMaxSettleReads) {
     return SubmitDone{ SubmitResult::Unknown, 0 };
   }
--- a/packages/config/src/Replica.cpp
+++ b/packages/config/src/Replica.cpp
@@ -20,14 +20,15 @@
                 },
                 [&](const FetchFailed&) {
                   m_fetchStarted.reset();
-                  // The table knows every accepted change; the peer
-                  // may be gone.
+                  // The next fetch goes to the table, which holds every
+                  // accepted change. The peer may have gone.
                   m_source.clear();
                 },
                 [](const ReplicaTick&) {} },
     aEvent);
-  // A failed fetch waits for the next tick, so that an outage of the table
-  // is polled at the rate of the ticks and not in a tight loop.
+  // After a failed fetch the replica waits for the next tick, so that during an
+  // outage of the table it polls at the rate of the ticks and not in a tight
+  // loop.
   if (!std::holds_alternative<FetchFailed>(aEvent)) {
     FetchIfBehind(aNow, actions);
   }
@@ -59,7 +60,7 @@
 Replica::OnSnapshot(const SnapshotArrived& aSnapshot, Actions& aActions)
 {
   if (aSnapshot.m_revision <= m_revision) {
-    return; // An old snapshot must never turn the configuration back.
+    return; // An old snapshot must never revert the configuration.
   }
   std::vector<declared::Edit> edits;
   edits.reserve(aSnapshot.m_objects.size());
--- a/packages/config/tests/ConfigWorldTest.cpp
+++ b/packages/config/tests/ConfigWorldTest.cpp
@@ -21,9 +21,10 @@
 }
 
 /**
- * Instances with a replica each, operators who submit changes through them at
- * the same time, and one table. Answers of the table are late or lost, peers
- * tell each other their revision, a process may be replaced by a new one.
+ * Simulates instances with a replica each, operators who submit changes through
+ * them concurrently, and one table. Answers of the table are delayed or lost,
+ * peers announce their revisions to each other, and a process may be replaced
+ * by a new one.
  */
 class ConfigWorld
 {
@@ -62,7 +63,10 @@
     }
   }
 
-  /** Without further faults, all come to the table's head. */
+  /**
+   * Returns whether all replicas reach the table's head once no further faults
+   * occur.
+   */
   bool Converges()
   {
     constexpr int kRounds = 200;
@@ -92,8 +96,11 @@
     return DecodeHead(m_table.Read(std::string(kHeadKey)).m_value)->m_revision;
   }
 
-  /** Every change that was called accepted holds the revision it was given,
-   * and none that was called stale or unavailable is in the table. */
+  /**
+   * Checks that every change reported as accepted is in the table, that none
+   * reported as stale or unavailable is, and that no revision is missing and no
+   * change is there twice.
+   */
   void CheckAnswers()
   {
     std::set<std::string> written;
@@ -110,12 +117,12 @@
     for (const auto& [id, result] : m_results) {
       const bool there = written.contains(id);
       if (result == SubmitResult::Accepted && !there) {
-        m_faults.push_back("accepted change " + id + " is not there");
+        m_faults.push_back("accepted change " + id + " is not in the table");
       }
       const bool refused =
         result == SubmitResult::Stale || result == SubmitResult::Unavailable;
       if (refused && there) {
-        m_faults.push_back("refused change " + id + " is there");
+        m_faults.push_back("refused change " + id + " is in the table");
       }
     }
   }
@@ -136,7 +143,7 @@
     const Revision before = node.m_replica.InForce();
     const auto actions = node.m_replica.Handle(aEvent, m_now);
     if (node.m_replica.InForce() < before) {
-      m_faults.emplace_back("a revision in force went back");
+      m_faults.emplace_back("the revision in force decreased");
     }
     for (const ReplicaAction& action : actions) {
       if (const auto* fetch = std::get_if<FetchChanges>(&action)) {
@@ -148,7 +155,10 @@
     }
   }
 
-  /** Only if the process that asked is still the same one. */
+  /**
+   * Delivers the event only if the process that asked has not been replaced
+   * since.
+   */
   void FeedLife(std::size_t aAt, int aLife, const ReplicaEvent& aEvent)
   {
     if (m_nodes[aAt].m_life == aLife) {
@@ -165,7 +175,7 @@
         return;
       }
       if (!aFetch.m_peer.empty()) {
-        // A peer hands over its whole configuration.
+        // A peer sends its whole configuration.
         const Replica& peer = m_nodes[std::stoul(aFetch.m_peer)].m_replica;
         FeedLife(
           aAt, life, SnapshotArrived{ peer.InForce(), peer.Catalog().Texts() });
@@ -257,8 +267,8 @@
   {
     m_network.push_back([this, aCommitter, aId, aTransaction](bool aLost) {
       if (aLost) {
-        // Slow, not lost: it takes effect later, after the answer was given
-        // up.
+        // The write is slow, not lost: it takes effect after the committer has
+        // stopped waiting for its answer.
         m_network.push_back(
           [this, aTransaction](bool) { m_table.Commit(aTransaction); });
         Drive(
@@ -303,7 +313,7 @@
 {
   std::size_t answers = 0;
   Revision highest = 0;
-  EXPECT_TRUE(rc::check("the configuration only goes on", [&]() {
+  EXPECT_TRUE(rc::check("the configuration never reverts", [&]() {
     constexpr std::size_t kSteps = 300;
     const auto schedule = *support::AnySchedule(kSteps);
     ConfigWorld world(*rc::gen::inRange<std::size_t>(2, 5));
@@ -317,7 +327,7 @@
     RC_ASSERT(world.Faults() == std::vector<std::string>());
   }));
   EXPECT_GT(answers, 0U);
-  EXPECT_GT(highest, 2U) << "no schedule ever got changes through";
+  EXPECT_GT(highest, 2U) << "no schedule ever committed more than two changes";
 }
 
 } // namespace
