--- a/packages/membership/include/ridgeferry/membership/Roster.h
+++ b/packages/membership/include/ridgeferry/membership/Roster.h
@@ -317,7 +317,8 @@
   std::map<std::string, std::string, std::less<>> m_listed;
   std::optional<Instant> m_nextHeartbeat;
   std::optional<Instant> m_nextFar;
-  std::ptrdiff_t m_near = 0; ///< Number of peers in the own data centre.
+  /** Number of peers in the own data centre. */
+  std::ptrdiff_t m_near = 0;
   /**
    * Selects the instance of each other data centre that receives the next sums.
    */
--- a/packages/membership/include/ridgeferry/membership/StoreDuty.h
+++ b/packages/membership/include/ridgeferry/membership/StoreDuty.h
@@ -28,9 +28,9 @@
 public:
   static constexpr std::size_t kInHall = 2;
   /**
-   * A poller counts as heard if a heartbeat of it arrived within so many
-   * heartbeat intervals: a single lost heartbeat is chance, three lost in a row
-   * are not.
+   * Number of heartbeat intervals within which a heartbeat of a peer must have
+   * arrived for its state of the store to count: a single lost heartbeat is
+   * chance, three lost in a row are not.
    */
   static constexpr int kFreshTalks = 3;
 
@@ -53,8 +53,8 @@
                                     Instant aNow) const;
   /**
    * Returns whether the asking instance must poll the store: because it is one
-   * of the pollers of its data centre, or because no poller whose reads succeed
-   * is heard (see `HearsOfStore`).
+   * of the pollers of its data centre, or because `HearsOfStore` finds no other
+   * poller whose reads succeed.
    */
   bool IsOnDuty(Instant aNow) const;
   /**
--- a/packages/quarantine/include/ridgeferry/quarantine/Quarantine.h
+++ b/packages/quarantine/include/ridgeferry/quarantine/Quarantine.h
@@ -29,7 +29,8 @@
 struct ToldEnding
 {
   Ending m_ending;
-  Duration m_age{}; ///< Maximum time since the crash was first observed.
+  /** Upper bound on the time since the crash was first observed. */
+  Duration m_age{};
 };
 
 /**
@@ -42,7 +43,11 @@
 /** How a crash record has changed the state of its call. */
 enum class Change : std::uint8_t
 {
-  /** The record did not change whether the call is suspected or quarantined. */
+  /**
+   * There is no change to report: the record was known or is too old, or no
+   * more incarnations are recorded for the call, or the clearing leaves other
+   * crashes that count against the call.
+   */
   None,
   /**
    * One more crash was recorded. The call was not quarantined by it: the
--- a/packages/quarantine/tests/QuarantineWorldTest.cpp
+++ b/packages/quarantine/tests/QuarantineWorldTest.cpp
@@ -49,7 +49,8 @@
    */
   Duration m_callEvery{ 80 };
   /**
-   * Time from the begin of a run until its upstream crashes or the run ends.
+   * Time from the beginning of a run until its upstream crashes or the run
+   * ends.
    */
   Duration m_runsFor{ 100 };
   Duration m_talk{ 5 }; ///< Delay of a message between instances.
