--- a/packages/claims/src/Claim.cpp
+++ b/packages/claims/src/Claim.cpp
@@ -301,7 +301,8 @@
     return NoClaimAction{};
   }
   if (aEnded.m_outcome == Outcome::MayHaveRun) {
-    return Finish(Outcome::MayHaveRun); // The row stays open for ever.
+    // The call may have run, so the row stays open and no retry may run it.
+    return Finish(Outcome::MayHaveRun);
   }
   m_step = Step::Recording;
   m_tries = 0;
