--- a/packages/authority/include/ridgeferry/authority/Lease.h
+++ b/packages/authority/include/ridgeferry/authority/Lease.h
@@ -15,18 +15,26 @@
 namespace ridgeferry::authority {
 
 /**
- * Rises with each taking of a hall's lease: by one within one generation of the
- * store, whose number is the high part. So it rises also where the store has
- * come back from a copy that lacks the last takings.
+ * Number of one acquisition of a data centre's lease. Each acquisition has a
+ * higher number than all earlier ones: within one generation of the store the
+ * number rises by one, and the generation fills the bits above. The number
+ * therefore also rises when the store was restored from an older copy that
+ * lacks the latest acquisitions.
  */
 using FencingNumber = std::uint64_t;
 
-/** Bits of a fencing number below the generation: more takings than there can
- * be in one, while the whole number stays exact where only 53 bits are. */
+/**
+ * Number of bits of a fencing number that lie below the generation. They can
+ * count more acquisitions than one generation of the store can have, and leave
+ * the whole number small enough to be exact in readers that represent it with
+ * only 53 bits.
+ */
 constexpr int kFencingBits = 32;
 
-/** Number of the next taking; `aSeen`: that of the last one as the store has
- * it.
+/**
+ * Returns the fencing number for the next acquisition of the lease. `aSeen` is
+ * the number of the last acquisition that the store has recorded, and
+ * `aGeneration` is the current generation of the store.
  */
 constexpr FencingNumber
 NextFencing(FencingNumber aSeen, StoreGeneration aGeneration)
@@ -34,24 +42,28 @@
   return std::max(aSeen, aGeneration << kFencingBits) + 1;
 }
 
-/** The lease row of a hall. It changes with every renewal. */
+/** The lease row of a data centre. Every renewal changes this row. */
 struct LeaseRow
 {
-  std::string m_holder; ///< Process id of the holder, unique for ever.
+  std::string m_holder; ///< Id of the holding process; never reused.
   FencingNumber m_fencing = 0;
-  /** Of the holder's writes, each its own: a row that is read is that of one
-   * write, not of an earlier one that said the same. */
+  /**
+   * Number of the write, different for each write of the holder. A row that is
+   * read back can therefore be matched to exactly one write, and not to an
+   * earlier write with otherwise equal content.
+   */
   std::uint64_t m_beat = 0;
-  bool m_released = false; ///< The holder resigned: no need to wait.
+  bool m_released = false; ///< The holder resigned, so that a contender
+                           ///< may acquire the lease without waiting.
   bool operator==(const LeaseRow&) const = default;
 };
 
 std::string
 LeaseKey(std::string_view aHall);
 /**
- * The fence row of a hall changes only when the lease is taken, so that a
- * transaction may be made conditional on "still the same holder" without
- * colliding with the holder's own renewals.
+ * Returns the key of a data centre's fence row. The fence row changes only when
+ * the lease is acquired, so a transaction can be made conditional on "the
+ * holder is still the same" without conflicting with the holder's own renewals.
  */
 std::string
 FenceKey(std::string_view aHall);
@@ -63,34 +75,37 @@
 
 struct LeaseTick
 {
-  /** Whether this process should take a lease that is free. */
+  /** Whether this process should acquire the lease when the lease is free. */
   bool m_contends = true;
 };
-/** Answer to `ReadLease`. */
+/** Result of a `ReadLease` action. */
 struct LeaseRead
 {
   table::ReadResult m_lease;
   table::ReadResult m_fence;
-  StoreGeneration m_generation = 0; ///< Of the store that answered.
+  StoreGeneration m_generation = 0; ///< Generation of the answering store.
 };
-/** Answer to `WriteLease`. */
+/** Result of a `WriteLease` action. */
 struct LeaseWritten
 {
   std::uint64_t m_attempt = 0;
   table::CommitResult m_result = table::CommitResult::Unknown;
 };
-/** The store was seen to be in that generation. */
+/** The process has learned that the store is in this generation. */
 struct LeaseGeneration
 {
   StoreGeneration m_generation = 0;
 };
-/** Planned stop: give the lease back. */
+/** The process is about to stop as planned and gives the lease back. */
 struct LeaseResign
 {};
 using LeaseEvent = std::
   variant<LeaseTick, LeaseRead, LeaseWritten, LeaseGeneration, LeaseResign>;
 
-/** Read the lease row, then the fence row, in that order. */
+/**
+ * Asks the driver to read the lease row first and the fence row second, and to
+ * answer with `LeaseRead`.
+ */
 struct ReadLease
 {};
 struct WriteLease
@@ -101,7 +116,8 @@
 struct AuthorityGained
 {
   FencingNumber m_fencing = 0;
-  table::Version m_fenceVersion = 0; ///< 0: read the fence row first.
+  /** Version of the fence row; 0: the fence row must be read first. */
+  table::Version m_fenceVersion = 0;
 };
 struct AuthorityLost
 {};
@@ -111,57 +127,80 @@
 struct LeaseTimes
 {
   Duration m_term{ 6000 };
-  /** What the holder stops early, and a taker waits longer: it covers the
-   * difference of two clocks' rates over one term. */
+  /**
+   * The holder gives up its authority earlier by this time, and a contender
+   * waits longer by this time. The margin covers how far two clocks can drift
+   * apart within one term because they run at different rates.
+   */
   Duration m_margin{ 600 };
   Duration m_renewEvery{ 2000 };
   Duration m_pollEvery{ 1000 };
-  /** How many times more seldom a process reads that does not contend: with
-   * 45 instances a hall the reads would be most of the table's. 0: it reads
-   * once, at its start, and then not until it contends. */
+  /**
+   * Factor by which the poll interval of a process that does not contend is
+   * longer than `m_pollEvery`. With 45 instances in a data centre, these reads
+   * would otherwise be most of the store's load. 0: such a process reads once,
+   * at its start, and not again until it contends.
+   */
   int m_seldom = 10;
 };
 
 /**
- * One process's part in the lease of its hall's planner.
+ * State machine with which one process acquires, renews and gives up its data
+ * centre's planner lease. Only the process that holds the lease may send orders
+ * to engines.
+ *
+ * Clocks of two processes are never compared. The holder counts its term from
+ * the moment before it sent the write that committed. A contender acquires the
+ * lease only after the row has stayed unchanged for a whole term and margin on
+ * the contender's own clock. The old holder's authority therefore ends before
+ * the new holder's begins, as long as the rates of both clocks differ by less
+ * than margin/term.
  *
- * No clocks are compared. The holder counts its term from the moment before it
- * sent the write that committed; a taker waits until it has seen the same row
- * for a whole term on its own clock. So a holder's authority ends before a
- * taker's begins, if both clocks run at the same rate within margin/term.
+ * A store that was restored from an older copy may lack the last acquisition,
+ * while the process that made this acquisition believes in its authority for
+ * the rest of its term. When a process first sees a later generation of the
+ * store, it therefore gives up its authority, and does not acquire the lease
+ * for a whole term and margin, whatever the restored rows contain. Rows that it
+ * read and wrote before no longer count, because versions of two generations
+ * cannot be compared.
  *
- * A store that came back from an older copy may lack the last taking: whoever
- * holds by the history that is lost believes so for the rest of its term. So at
- * the first sight of a later generation a holder's authority ends, and nobody
- * takes the lease for a whole term and margin from then on, whatever the copy
- * says. What was read and written before counts no more: the versions of two
- * generations say nothing of each other.
- * A pure state machine; not thread-safe.
+ * The class does no input or output: `Handle` returns the actions that its
+ * caller must execute. Not thread-safe.
  */
 class Lease
 {
 public:
   Lease(std::string aHall, std::string aProcess, LeaseTimes aTimes = {});
 
+  /** Processes one event and returns the actions to execute, in order. */
   std::vector<LeaseAction> Handle(const LeaseEvent& aEvent, Instant aNow);
 
-  /** Whether an order may be sent now. Ask right before each use. */
+  /**
+   * Returns whether this process may send an order at the time `aNow`. Must be
+   * called right before each order is sent, as the authority may expire at any
+   * time.
+   */
   bool HasAuthority(Instant aNow) const;
   FencingNumber Fencing() const { return m_fencing; }
   table::Version FenceVersion() const { return m_fenceVersion; }
-  /** Holder named by the row last read; empty before the first read. */
+  /**
+   * Returns the holder that the last lease row read names; empty before the
+   * first read.
+   */
   const std::string& SeenHolder() const { return m_seen.m_holder; }
 
 private:
   using Actions = std::vector<LeaseAction>;
 
-  /** A write whose answer is still open. */
+  /** A write that no read has confirmed or refuted yet. */
   struct OpenWrite
   {
     std::uint64_t m_attempt = 0;
     Instant m_sentAt;
     LeaseRow m_row;
-    bool m_answered = false; ///< Only a read is still missing.
+    /** The write was answered; a read must still show whether it is in force.
+     */
+    bool m_answered = false;
   };
 
   void OnTick(const LeaseTick& aTick, Instant aNow, Actions& aActions);
@@ -190,12 +229,16 @@
   LeaseRow m_seen;
   table::Version m_seenVersion = 0;
   table::Version m_seenFenceVersion = 0;
-  std::optional<Instant> m_unchangedSince; ///< Empty: never read.
+  /** When this process first saw the current row; empty if it never read. */
+  std::optional<Instant> m_unchangedSince;
   bool m_hasRead = false;
 
-  /** Of the store, as far as seen; nothing: never. */
+  /** Highest generation of the store seen; std::nullopt if none was seen. */
   std::optional<StoreGeneration> m_generation;
-  /** A holder by a lost history may believe in its authority until then. */
+  /**
+   * Until then a holder whose acquisition was lost when the store was restored
+   * may still believe in its authority, so no process may acquire the lease.
+   */
   std::optional<Instant> m_nobodyTakesUntil;
 
   std::optional<OpenWrite> m_open;
--- a/packages/authority/include/ridgeferry/authority/Order.h
+++ b/packages/authority/include/ridgeferry/authority/Order.h
@@ -10,21 +10,23 @@
 
 namespace ridgeferry::authority {
 
-/** Take no new work; running work goes on to its end. */
+/** Tells an engine to accept no new requests; running requests complete. */
 struct DrainOrder
 {
   bool operator==(const DrainOrder&) const = default;
 };
-/** Take work again. */
+/** Tells an engine to accept requests again. */
 struct ResumeOrder
 {
   bool operator==(const ResumeOrder&) const = default;
 };
+/** Tells a drained engine to change its role. */
 struct RoleOrder
 {
   std::string m_role; ///< `mixed`, `prefill` or `decode`.
   bool operator==(const RoleOrder&) const = default;
 };
+/** Tells a drained engine to load a model, and an adapter if one is named. */
 struct LoadOrder
 {
   std::string m_model;
@@ -34,18 +36,22 @@
 };
 using OrderKind = std::variant<DrainOrder, ResumeOrder, RoleOrder, LoadOrder>;
 
-/** One order to one engine: recorded first, then sent at most once. */
+/**
+ * One order to one engine. The planner records an order in the store first and
+ * then sends it at most once.
+ */
 struct Order
 {
-  std::string m_id; ///< Unique for ever.
+  std::string m_id; ///< Never reused.
   std::string m_engine;
   FencingNumber m_fencing = 0;
-  std::string m_sender; ///< Process id of the planner that recorded it.
-  std::string m_boot;   ///< Boot id of the engine that it was decided for.
+  std::string m_sender; ///< Process id of the recording planner.
+  /** Boot id that the engine had when the planner decided on the order. */
+  std::string m_boot;
   OrderKind m_kind;
-  bool m_settled = false; ///< It can have no further effect.
-  bool m_taken = false;   ///< Settled because the engine took it.
-  std::string m_how;      ///< How it was settled, for people.
+  bool m_settled = false; ///< The order can have no further effect.
+  bool m_taken = false;   ///< Settled because the engine accepted the order.
+  std::string m_how;      ///< How the order was settled, as text for operators.
   bool operator==(const Order&) const = default;
 };
 
@@ -55,40 +61,42 @@
 EncodeOrder(const Order& aOrder);
 tl::expected<Order, std::string>
 DecodeOrder(std::string_view aValue);
-/** `drain`, `resume`, `role` or `load`. */
+/** Returns `drain`, `resume`, `role` or `load`. */
 std::string_view
 OrderKindName(const OrderKind& aKind);
 
-/** What an engine last said of itself. All fields are of one moment. */
+/** The state an engine last reported. All fields are of the same moment. */
 struct EngineState
 {
   std::string m_bootId;
-  std::string m_lastOrder; ///< Id of the last order that it took.
+  std::string m_lastOrder; ///< Id of the last order that the engine accepted.
   std::string m_role;
   std::string m_model;
   std::string m_version;
   std::string m_adapter;
   bool m_draining = false;
-  bool m_changing = false;    ///< In the middle of a change.
-  std::int64_t m_running = 0; ///< Requests running or waiting on it.
+  bool m_changing = false;    ///< A role or model change is under way.
+  std::int64_t m_running = 0; ///< Requests running or queued on the engine.
 };
 
-/** What the planner wants an engine to be. */
+/** The state that the planner wants an engine to reach. */
 struct EngineTarget
 {
   std::string m_role;
   std::string m_model;
   std::string m_version;
   std::string m_adapter;
-  bool m_serving = true; ///< False: drained, for a withdrawal.
+  /** False: the engine is to be drained, so that it can be withdrawn. */
+  bool m_serving = true;
   bool operator==(const EngineTarget&) const = default;
 };
 
 /**
- * The next order on the way from a state to a target, or nothing: there, or
- * waiting for running work to end. No role or load order leaves before the
- * engine itself says that it is draining and has nothing left to run, so no
- * planned change cuts a request. Thread-safe.
+ * Returns the next order that takes an engine from `aState` towards `aTarget`.
+ * Returns std::nullopt if the engine has reached the target, if a change is
+ * under way, or if running requests must complete first. Role and load orders
+ * are returned only once the engine itself has reported that it is draining and
+ * has no request left, so that no planned change aborts a request. Thread-safe.
  */
 std::optional<OrderKind>
 NextOrder(const EngineState& aState, const EngineTarget& aTarget);
--- a/packages/authority/include/ridgeferry/authority/OrderDesk.h
+++ b/packages/authority/include/ridgeferry/authority/OrderDesk.h
@@ -11,53 +11,62 @@
 
 namespace ridgeferry::authority {
 
-/** How the sending of an order ended, as its sender saw it. */
+/** How sending an order ended, from the view of its sender. */
 enum class SendResult
 {
-  Taken,   ///< The engine answered that it took the order.
-  Refused, ///< The engine answered that it did not.
-  NotSent, ///< No byte of it can have left.
-  Lost,    ///< Sent, no answer; the connection is closed now.
+  Taken,   ///< The engine answered that it accepted the order.
+  Refused, ///< The engine answered that it refused the order.
+  NotSent, ///< No byte of the order can have left this process.
+  Lost,    ///< Sent without an answer; the connection is closed now.
 };
 
-/** Lets the desk act, or stops it. */
+/** This process has gained or lost the authority to send orders. */
 struct AuthorityChanged
 {
   bool m_has = false;
   FencingNumber m_fencing = 0;
   table::Version m_fenceVersion = 0;
 };
+/** The planner has chosen the target state of an engine. */
 struct TargetSet
 {
   std::string m_engine;
   EngineTarget m_target;
+  /** Whether the engine itself refuses orders with old fencing numbers. */
   bool m_checksFencing = false;
 };
-/** What an engine says of itself, perhaps late. */
+/** A report of an engine on itself; the report may arrive late. */
 struct StateReported
 {
   std::string m_engine;
   EngineState m_state;
 };
+/** Result of a `ReadOrderRow` action. */
 struct OrderRowRead
 {
   std::string m_engine;
   table::ReadResult m_result;
 };
+/** Result of a `RecordOrder` or `SettleOrder` action. */
 struct OrderWritten
 {
   std::string m_engine;
   std::string m_orderId;
-  bool m_settling = false; ///< Answer to `SettleOrder`, else `RecordOrder`.
+  /** True: result of a `SettleOrder`; false: result of a `RecordOrder`. */
+  bool m_settling = false;
   table::CommitResult m_result = table::CommitResult::Unknown;
 };
+/** Result of a `SendOrder` action. */
 struct OrderAnswered
 {
   std::string m_engine;
   std::string m_orderId;
   SendResult m_result = SendResult::Lost;
 };
-/** The process has ended for sure (listed as gone, or replaced in place). */
+/**
+ * The sender's process has certainly ended: the process is listed as gone, or
+ * a new process runs in its place.
+ */
 struct SenderEnded
 {
   std::string m_sender;
@@ -73,20 +82,26 @@
                                SenderEnded,
                                DeskTick>;
 
+/** Asks the driver to read the order row of an engine. */
 struct ReadOrderRow
 {
   std::string m_engine;
 };
+/** Asks the driver to record an order in the store before it is sent. */
 struct RecordOrder
 {
   Order m_order;
   table::Transaction m_transaction;
 };
-/** Send now, once. The driver asks for authority again right before. */
+/**
+ * Asks the driver to send the order now, and only once. The driver must check
+ * `Lease::HasAuthority` again right before it sends.
+ */
 struct SendOrder
 {
   Order m_order;
 };
+/** Asks the driver to mark the order as settled in the store. */
 struct SettleOrder
 {
   Order m_order;
@@ -96,21 +111,28 @@
   std::variant<ReadOrderRow, RecordOrder, SendOrder, SettleOrder>;
 
 /**
- * Turns targets into orders for the engines of one hall, one open order an
- * engine at most.
+ * Controller that turns target states into orders for the engines of one data
+ * centre. Each engine has at most one open order.
+ *
+ * Orders do not conflict because of this rule: an order is recorded in the
+ * store before it is sent, is sent at most once, and only by the process that
+ * recorded it. As long as an order is not settled, no process records a
+ * different order for the same engine, unless the engine itself refuses old
+ * fencing numbers.
  *
- * The rule that keeps orders from conflicting: an order is recorded in the
- * table before it is sent, is sent at most once and only by the process that
- * recorded it, and while it is not settled no process records a different one
- * for that engine, unless the engine itself refuses old fencing numbers.
- * An order is settled when it can have no further effect:
- *  - the engine's answer or report names it: sent once, arrived once;
- *  - its sender knows that it never sent it;
- *  - sender's connection is closed, or the sender has ended, and the engine has
- *    shown nothing of it for `kSilence` (what TCP and the engine's own queue
- *    may still hold back).
- * A paused sender keeps its order open for as long as it is paused, so no
- * waiting time has to be guessed. A pure state machine; not thread-safe.
+ * An order is settled when it can have no further effect, which is the case if:
+ *  - the engine's answer or report names the order, which was sent only once
+ *    and therefore cannot arrive again;
+ *  - the sender knows that it never sent the order;
+ *  - the sender's connection is closed, or the sender's process has ended, and
+ *    no report of the engine has named the order for `kUnresponsiveTime`. This
+ *    time covers how long TCP and the engine's own queue may delay an order.
+ *
+ * The order of a paused sender stays open for as long as the sender is paused,
+ * so correctness does not depend on a guess of how long a pause can last.
+ *
+ * The class does no input or output: `Handle` returns the actions that its
+ * caller must execute. Not thread-safe.
  */
 class OrderDesk
 {
@@ -120,32 +142,38 @@
 
   OrderDesk(std::string aHall, std::string aProcess);
 
+  /** Processes one event and returns the actions to execute, in order. */
   std::vector<DeskAction> Handle(const DeskEvent& aEvent, Instant aNow);
 
-  /** The open order of an engine, if its row was read and holds one. */
+  /**
+   * Returns the open order of an engine; std::nullopt if the engine's order row
+   * has not been read or holds no open order.
+   */
   std::optional<Order> OpenOrder(std::string_view aEngine) const;
 
   /**
-   * Whether the next step for this engine needs a report of it: nothing is
-   * known of it, an order is open, or it is not yet as wanted.
+   * Returns whether the controller needs a new report of this engine for its
+   * next step, because the engine's state or target is unknown, an order is
+   * open, or the engine has not reached its target yet.
    */
   bool IsBusy(std::string_view aEngine) const;
 
 private:
   using Actions = std::vector<DeskAction>;
 
+  /** Progress of the current order of one engine. */
   enum class Step
   {
-    Unread, ///< The row has not been read under this authority.
-    Reading,
-    Idle,      ///< The row holds no open order.
-    Recording, ///< The record's answer is awaited.
-    Sending,   ///< Recorded by this process and handed to the driver.
-    Waiting,   ///< Open, until something settles it.
-    Settling,  ///< The settlement's answer is awaited.
+    Unread,    ///< The order row must be read, again if it was read before.
+    Reading,   ///< The read of the order row is under way.
+    Idle,      ///< The order row holds no open order.
+    Recording, ///< The write that records the order is under way.
+    Sending,   ///< Recorded by this process and passed to the driver.
+    Waiting,   ///< Open until an event shows how to settle the order.
+    Settling,  ///< The write that settles the order is under way.
   };
 
-  /** Why an order can have no further effect. */
+  /** How an order that can have no further effect is settled. */
   struct Verdict
   {
     bool m_taken = false;
@@ -159,9 +187,16 @@
     std::optional<EngineState> m_state;
     Step m_step = Step::Unread;
     table::Version m_version = 0;
-    Order m_order; ///< The row's last content, or the one being recorded.
-    std::string m_lastSent;           ///< The order last handed to the driver.
-    std::optional<Verdict> m_verdict; ///< Of `m_order`, once it is known.
+    /** Last content of the order row, or the order that is being recorded. */
+    Order m_order;
+    std::string m_lastSent; ///< Id of the order last passed to the driver.
+    /** How to settle `m_order`; std::nullopt if this is not known yet. */
+    std::optional<Verdict> m_verdict;
+    /**
+     * Since when `m_order` can no longer be sent, so that it is settled unless
+     * the engine reports it within `kUnresponsiveTime`; std::nullopt if its
+     * sender may still send it.
+     */
     std::optional<Instant> m_silentSince;
     Instant m_retryAt;
   };
--- a/packages/authority/src/Lease.cpp
+++ b/packages/authority/src/Lease.cpp
@@ -42,7 +42,8 @@
                      value.at("beat").get<std::uint64_t>(),
                      value.at("released").get<bool>() };
   } catch (const nlohmann::json::exception& error) {
-    return tl::unexpected(std::string("bad lease row: ") + error.what());
+    return tl::unexpected(std::string("cannot decode the lease row: ") +
+                          error.what());
   }
 }
 
@@ -64,7 +65,8 @@
 {
   Actions actions;
   if (m_holds && aNow >= m_validUntil) {
-    Drop(actions); // The term ended, perhaps while this process was paused.
+    // The term may also have ended while this process was paused.
+    Drop(actions);
   }
   std::visit(
     Overloaded{
@@ -84,7 +86,8 @@
 {
   if (m_open) {
     if (m_open->m_answered && aNow >= m_nextRead.value_or(aNow)) {
-      // The read that was to settle the write failed: read again.
+      // The read that should show whether the write is in force has failed, so
+      // the rows are read again.
       m_nextRead = aNow + m_times.m_pollEvery;
       aActions.emplace_back(ReadLease{});
     }
@@ -104,7 +107,8 @@
     return;
   }
   if (!aTick.m_contends && m_times.m_seldom == 0 && m_hasRead) {
-    // What was seen before may be long out of date once it contends.
+    // By the time this process contends, the row that it has seen may be long
+    // out of date, so the process must read the row again first.
     m_unchangedSince.reset();
     m_nextRead.reset();
     return;
@@ -137,7 +141,7 @@
   }
   m_generation = aGeneration;
   if (aGeneration == 0) {
-    return; // A store that never came back older.
+    return; // The store was never restored from an older copy.
   }
   m_nobodyTakesUntil = aNow + m_times.m_term + m_times.m_margin;
   m_open.reset();
@@ -156,7 +160,7 @@
   }
   OnGeneration(aRead.m_generation, aNow, aActions);
   if (aRead.m_generation < m_generation.value_or(0)) {
-    return; // It says nothing of what holds now.
+    return; // The answer is from before the store was restored.
   }
   const auto row = DecodeLease(aRead.m_lease.m_row.m_value);
   if (!row) {
@@ -191,14 +195,14 @@
 Lease::OnWritten(const LeaseWritten& aWritten, Instant aNow, Actions& aActions)
 {
   if (!m_open || m_open->m_attempt != aWritten.m_attempt) {
-    return; // An answer to an earlier write: already settled by a read.
+    return; // A read has already settled this earlier write.
   }
   switch (aWritten.m_result) {
     case table::CommitResult::Committed:
     case table::CommitResult::Conflict:
     case table::CommitResult::Unknown:
-      // The row tells who holds the lease and brings its new version, also
-      // after a lost answer. `m_open` stays until that read.
+      // Even if the answer was lost, reading the row shows who holds the lease
+      // and what the row's new version is. `m_open` stays until this read.
       m_open->m_answered = true;
       m_nextRead = aNow + m_times.m_pollEvery;
       aActions.emplace_back(ReadLease{});
@@ -214,7 +218,7 @@
 {
   const Instant validUntil =
     aWrite.m_sentAt + m_times.m_term - m_times.m_margin;
-  // Of one that is confirmed too late nothing is left to use.
+  // A write that is confirmed after its term has ended gives no authority.
   if (aWrite.m_row.m_released || aNow >= validUntil) {
     Drop(aActions);
     return;
@@ -250,7 +254,8 @@
   }
   LeaseRow row = m_seen;
   row.m_released = true;
-  // Authority ends before the row is given back, not when the answer comes.
+  // The authority must end before the released row is written. Other processes
+  // may acquire the lease before the answer to this write arrives.
   Drop(aActions);
   Write(std::move(row), false, aNow, aActions);
 }
--- a/packages/authority/src/Order.cpp
+++ b/packages/authority/src/Order.cpp
@@ -93,7 +93,8 @@
     order.m_how = value.at("how").get<std::string>();
     return order;
   } catch (const nlohmann::json::exception& error) {
-    return tl::unexpected(std::string("bad order row: ") + error.what());
+    return tl::unexpected(std::string("cannot decode the order row: ") +
+                          error.what());
   }
 }
 
--- a/packages/authority/src/OrderDesk.cpp
+++ b/packages/authority/src/OrderDesk.cpp
@@ -7,8 +7,9 @@
 namespace {
 
 /**
- * Whether a report was made before the engine took the order that its row
- * holds: a decision on it would repeat what is already done.
+ * Returns whether the engine made this report before it accepted `aOrder`, its
+ * last recorded order. A decision that is based on such a report would repeat
+ * an order that the engine has already accepted.
  */
 bool
 IsStale(const EngineState& aState, const Order& aOrder)
@@ -88,8 +89,10 @@
   if (!newTerm) {
     return;
   }
-  // Another planner may have written rows meanwhile. An order of our own that
-  // is under way keeps its step: its answer still settles it.
+  // Another planner may have written order rows since this process last had
+  // authority, so they must be read again. An engine for which this process has
+  // an operation under way keeps its step, as the result of this operation
+  // still arrives.
   for (auto& [name, engine] : m_engines) {
     if (engine.m_step == Step::Idle || engine.m_step == Step::Waiting) {
       engine.m_step = Step::Unread;
@@ -156,12 +159,13 @@
     return;
   }
   if (engine.m_verdict) {
-    // The settlement did not reach the table: write it again.
+    // The settlement did not reach the store, so it is written again.
     Settle(engine, *engine.m_verdict, aActions);
     return;
   }
   if (order->m_sender == m_process && engine.m_lastSent != order->m_id) {
-    // Recorded by this process, the answer was lost, and it was never sent.
+    // This process recorded the order, but the answer to this write was lost,
+    // and the order was never sent.
     Send(engine, aActions);
     return;
   }
@@ -205,7 +209,8 @@
     Send(engine, aActions);
     return;
   }
-  // Settled, beaten, refused or unknown: the row tells.
+  // The write settled the order, conflicted, was not made, or has an unknown
+  // result. In each case the row must be read to learn its content.
   engine.m_step = Step::Unread;
   engine.m_retryAt = aWritten.m_result == table::CommitResult::NotWritten
                        ? aNow + kRetryTable
@@ -265,8 +270,9 @@
   aEngine.m_verdict = std::move(aVerdict);
   table::Transaction write;
   const std::string key = OrderKey(m_hall, settled.m_engine);
-  // No fence: whoever knows that an order is over may say so, also a process
-  // that has lost the lease.
+  // The transaction is not conditional on the fence row, because a process that
+  // has lost the lease may also settle an order that can have no further
+  // effect.
   write.m_conditions.push_back({ key, aEngine.m_version });
   write.m_puts.push_back({ key, EncodeOrder(settled) });
   aActions.emplace_back(SettleOrder{ std::move(settled), std::move(write) });
@@ -278,8 +284,8 @@
                    Instant aNow,
                    Actions& aActions)
 {
-  // A row that holds an order of ours is read on without authority too, so
-  // that the settlement of it is not forgotten.
+  // A row that holds an open order of this process is also read without
+  // authority, so that the order is still settled after the lease was lost.
   const bool ownsOpen = !aEngine.m_order.m_id.empty() &&
                         !aEngine.m_order.m_settled &&
                         aEngine.m_order.m_sender == m_process;
--- a/packages/authority/tests/LeaseCopyTest.cpp
+++ b/packages/authority/tests/LeaseCopyTest.cpp
@@ -1,5 +1,5 @@
-// The lease where the store comes back from an older copy: the last taking may
-// be lost, and its holder may not know yet.
+// Tests of the lease with a store that is restored from an older copy. The copy
+// may lack the last acquisition, and its holder may not have noticed this yet.
 
 #include "MemoryTable.h"
 
@@ -19,6 +19,7 @@
   FencingNumber m_next;
 };
 
+/** Checks that a fencing number is higher than all earlier ones. */
 class NextFencingTest : public ::testing::TestWithParam<FencingCase>
 {};
 
@@ -38,12 +39,16 @@
     FencingCase{ "Next", 7, 0, 8 },
     FencingCase{ "FirstOfAGeneration", 7, 1, kGeneration + 1 },
     FencingCase{ "NextOfAGeneration", kGeneration + 1, 1, kGeneration + 2 },
-    // A taking that a copy lost had some number of the generation before.
+    // An acquisition that the restored copy lacks had a number of the earlier
+    // generation, which may be higher than the 3 that the copy contains.
     FencingCase{ "OlderCopy", 3, 2, 2 * kGeneration + 1 }),
   [](const auto& aInfo) { return std::string(aInfo.param.m_name); });
 
-/** Processes that contend for one lease before a store that loses what it had
- * acknowledged. Calls and answers take their time or are lost. */
+/**
+ * Simulation of processes that contend for one lease in a store that loses
+ * acknowledged writes, because it is restored from older copies. Calls and
+ * answers are delayed, and answers may be lost.
+ */
 class World
 {
 public:
@@ -58,17 +63,20 @@
     }
   }
 
+  /** Copies the current content of the store. */
   void KeepCopy() { m_copy = m_table; }
+  /** Restores the store from the last copy, in a new generation. */
   void ComeBackFromCopy()
   {
     m_table = m_copy;
     ++m_generation;
   }
+  /** Makes all calls of a process fail for `aTime`. */
   void CutOff(std::size_t aWho, Duration aTime)
   {
     m_cutUntil[aWho] = m_now + aTime;
   }
-  /** A new process in its place, which remembers nothing. */
+  /** Replaces a process by a new process that has no state of the old one. */
   void Start(std::size_t aWho)
   {
     m_process[aWho] = ++m_started;
@@ -77,7 +85,11 @@
     m_calls.erase(aWho);
   }
 
-  /** `aDelay`: of each call and of each answer. */
+  /**
+   * Advances the time by `kStep`. Calls that start in this step take `aDelay`
+   * to reach the store, and their answers take as long to come back; `aLoses`
+   * says that these answers are lost.
+   */
   void Step(Duration aDelay, bool aLoses)
   {
     m_now += kStep;
@@ -90,18 +102,20 @@
     Check();
   }
 
+  /** Returns whether at most one process held authority at any time. */
   bool NeverTwo() const { return m_neverTwo; }
+  /** Returns whether each acquisition had a higher number than all before. */
   bool FencingRises() const { return m_fencingRises; }
   std::size_t Takings() const { return m_takings; }
 
 private:
-  /** A call on its way: it reaches the store, then its answer comes. */
+  /** A call in transit: the call reaches the store, then the answer returns. */
   struct Call
   {
     LeaseAction m_action;
     Instant m_arrivesAt;
     Instant m_answeredAt;
-    bool m_isLost = false; ///< The answer.
+    bool m_isLost = false; ///< The answer does not return.
     std::optional<LeaseEvent> m_answer;
   };
 
@@ -110,7 +124,8 @@
     for (const LeaseAction& action : aActions) {
       if (const auto* gained = std::get_if<AuthorityGained>(&action)) {
         ++m_takings;
-        // Whoever gets it back by a renewal of its own holds as before.
+        // A process that regains its authority because its own renewal was
+        // confirmed keeps the number that it had.
         const bool isBack =
           gained->m_fencing == m_highest && m_lastHolder == m_process[aWho];
         m_fencingRises =
@@ -153,7 +168,7 @@
     return LeaseRead{};
   }
 
-  /** Carries it out at the store as it is now. */
+  /** Executes the call on the current content of the store. */
   LeaseEvent Reach(const Call& aCall)
   {
     if (const auto* write = std::get_if<WriteLease>(&aCall.m_action)) {
@@ -188,7 +203,7 @@
   std::map<std::size_t, std::vector<Call>> m_calls;
   int m_started = 0;
   std::array<int, kProcesses> m_process{};
-  int m_lastHolder = 0; ///< The process that gained it last.
+  int m_lastHolder = 0; ///< Number of the process that gained authority last.
   Duration m_delay{};
   bool m_loses = false;
   FencingNumber m_highest = 0;
@@ -210,8 +225,9 @@
 
 constexpr int kSecond = 1000 / static_cast<int>(World::kStep.count());
 
-// Copies 0 to 10 s old, up to three of them, and processes that are cut off,
-// end and start meanwhile.
+// Guards against two holders at the same time and against a fencing number that
+// is used twice. The store is restored up to three times from a copy that is 0
+// to 10 s old or older, while processes are cut off, end and start.
 TEST(LeaseCopyWorldTest, AtMostOneHoldsAndItsFencingNumberIsTheHighest)
 {
   std::size_t takings = 0;
@@ -219,7 +235,8 @@
     World world(Times());
     const int returns = *rc::gen::inRange(0, 4);
     for (int i = 0; i <= returns; ++i) {
-      // Else the copy before serves again, at first one without any taking.
+      // If no new copy is made, the store is restored from the previous copy,
+      // which at first is empty and contains no acquisition.
       const bool keeps = *rc::gen::inRange(0, 3) != 0;
       const int keepAt = *rc::gen::inRange(0, 30 * kSecond);
       const int backAt = keepAt + *rc::gen::inRange(0, 10 * kSecond);
@@ -246,10 +263,13 @@
     RC_ASSERT(world.NeverTwo());
     RC_ASSERT(world.FencingRises());
   }));
-  EXPECT_GT(takings, 0U) << "nobody ever took the lease";
+  EXPECT_GT(takings, 0U) << "no process acquired the lease in any run";
 }
 
-/** What a holder hears of the store's next generation. */
+/**
+ * An event that names a generation of the store to the holder of the lease, and
+ * whether the holder's authority must end.
+ */
 struct HeardCase
 {
   const char* m_name;
@@ -260,6 +280,8 @@
 class HeardGenerationTest : public ::testing::TestWithParam<HeardCase>
 {};
 
+// Guards against a holder that keeps its authority for the rest of its term
+// although the store was restored from a copy that may lack its acquisition.
 TEST_P(HeardGenerationTest, AuthorityEndsAtOnce)
 {
   support::MemoryTable table;
--- a/packages/authority/tests/LeaseTest.cpp
+++ b/packages/authority/tests/LeaseTest.cpp
@@ -9,7 +9,8 @@
 
 constexpr Duration kTick{ 200 };
 
-/** One contender and its table, whose reads can be made to fail. */
+/** A contender that executes its actions on a table; reads can be made to fail.
+ */
 class LeaseHarness
 {
 public:
@@ -60,9 +61,10 @@
   Instant m_now{ Duration{ 1'000'000 } };
 };
 
-// With hundreds of instances the reads of those that never take it would be
-// most of the store's calls. One at its start brings what was found before:
-// after a loss of all instances nobody else could tell it.
+// With hundreds of instances, reads by processes that never acquire the lease
+// would be most of the store's calls. Such a process still reads once at its
+// start, because after all instances were lost no other process could tell it
+// who held the lease.
 TEST(LeaseTest, OneThatNeverContendsReadsOnce)
 {
   LeaseTimes times;
@@ -74,7 +76,7 @@
     return lease.Handle(LeaseTick{ aContends }, now).size();
   };
   EXPECT_EQ(tick(false), 1U);
-  lease.Handle(LeaseRead{}, now); // It failed.
+  lease.Handle(LeaseRead{}, now); // The read failed.
   std::size_t asked = 0;
   for (Duration waited{}; waited <= times.m_pollEvery; waited += kTick) {
     asked += tick(false);
@@ -88,6 +90,8 @@
   EXPECT_EQ(tick(true), 1U);
 }
 
+// Guards against a holder that does not renew in time: the holder must keep its
+// authority and its fencing number for many terms.
 TEST(LeaseTest, TakesAFreeLeaseAndKeepsIt)
 {
   support::MemoryTable table;
@@ -99,8 +103,8 @@
   EXPECT_EQ(first.Machine().Fencing(), 1U);
 }
 
-// The read that settles a write failed, and no further read was ever made: the
-// contender never took part again.
+// Guards against a contender that stops for ever: the read that should settle
+// its write failed, and the contender never made another read.
 TEST(LeaseTest, GoesOnAfterTheReadBehindAWriteFailed)
 {
   support::MemoryTable table;
@@ -123,9 +127,11 @@
       reads += std::holds_alternative<ReadLease>(action) ? 1 : 0;
     }
   }
-  EXPECT_EQ(reads, 6); // In 60 s; a contender makes 60.
+  EXPECT_EQ(reads, 6); // Within 60 s, in which a contender reads 60 times.
 }
 
+// Guards against a holder that keeps its authority although it cannot renew its
+// lease, as all reads of the store fail.
 TEST(LeaseTest, LosesAuthorityWhenTheTableIsAway)
 {
   support::MemoryTable table;
@@ -136,6 +142,8 @@
   EXPECT_FALSE(first.Holds());
 }
 
+// Guards against two holders at the same time: a contender must not acquire the
+// lease before the row has stayed unchanged for a whole term and margin.
 TEST(LeaseTest, IsTakenOverOnlyAfterAWholeTermOfSilence)
 {
   const LeaseTimes times;
@@ -150,7 +158,7 @@
   EXPECT_EQ(second.Machine().Fencing(), 2U);
 }
 
-/** What the store has, as an answer to a read. */
+/** Returns the current rows of the store as the answer to a read. */
 LeaseRead
 Answer(const support::MemoryTable& aTable)
 {
@@ -158,7 +166,10 @@
            { table::ReadStatus::Ok, aTable.Read(FenceKey("hall")) } };
 }
 
-/** Ticks until the machine writes; nothing: it never did. */
+/**
+ * Advances the time until the lease asks for a write. Returns std::nullopt if
+ * it asks for none within 100 ticks.
+ */
 std::optional<WriteLease>
 NextWrite(Lease& aLease, Instant& aNow)
 {
@@ -174,10 +185,11 @@
   return std::nullopt;
 }
 
-// Two reads overtook each other, so the holder took an older row for the newest
-// and, a term later, took the lease anew with the words of its first taking. A
-// read from before that second write then confirmed it, while another process
-// had seen the row stand for a whole term: two held.
+// Guards against two holders at the same time. Two reads arrive in the wrong
+// order, so the holder mistakes an older row for the newest one and acquires
+// the lease again. If this second write had the same content as the first one,
+// a read from before the second write would confirm it, while another process
+// has seen the row unchanged for a whole term and may acquire the lease.
 TEST(LeaseTest, ARowOfAnEarlierTakingConfirmsNoLaterOne)
 {
   support::MemoryTable table;
@@ -192,14 +204,16 @@
     LeaseWritten{ taking->m_attempt, table::CommitResult::Committed }, now);
   lease.Handle(Answer(table), now);
   ASSERT_TRUE(lease.HasAuthority(now));
-  lease.Handle(before, now); // Overtaken on its way.
+  lease.Handle(before, now); // An older read arrives late.
   EXPECT_FALSE(lease.HasAuthority(now));
   const auto again = NextWrite(lease, now);
   ASSERT_TRUE(again.has_value());
-  lease.Handle(Answer(table), now); // From before that write.
+  lease.Handle(Answer(table), now); // Read before the second write.
   EXPECT_FALSE(lease.HasAuthority(now));
 }
 
+// Guards against authority beyond the term: the term is counted from the moment
+// of the write, so a write that is confirmed a whole term later gives none.
 TEST(LeaseTest, AWriteConfirmedAfterItsTermGainsNothing)
 {
   support::MemoryTable table;
@@ -214,6 +228,8 @@
   EXPECT_FALSE(lease.HasAuthority(now));
 }
 
+// Guards against a planned stop that leaves the data centre without a planner
+// for a whole term.
 TEST(LeaseTest, IsFreeAtOnceAfterAResignation)
 {
   support::MemoryTable table;
--- a/packages/authority/tests/OrderDeskTest.cpp
+++ b/packages/authority/tests/OrderDeskTest.cpp
@@ -6,7 +6,10 @@
 
 constexpr Instant kStart{ Duration{ 1'000'000 } };
 
-/** A desk with authority over one engine that should become `prefill`. */
+/**
+ * A controller that has authority, and one `decode` engine that should become
+ * `prefill`.
+ */
 class OrderDeskTest : public ::testing::Test
 {
 protected:
@@ -36,7 +39,7 @@
     }
   }
 
-  /** The row of the recorded order, not settled. */
+  /** Returns the order row with the recorded order, not settled yet. */
   OrderRowRead OpenRow() const
   {
     return { "e",
@@ -50,6 +53,8 @@
   std::string m_settled;
 };
 
+// Guards against an order that is sent before the store has confirmed its
+// record: another planner could then record a conflicting order.
 TEST_F(OrderDeskTest, SendsOnlyWhatIsRecorded)
 {
   EXPECT_TRUE(m_sent.empty());
@@ -58,6 +63,8 @@
   EXPECT_EQ(m_sent.size(), 1U);
 }
 
+// If the answer to the recording write is lost, the order may or may not be
+// recorded. The order must not be sent until a read of the row shows it.
 TEST_F(OrderDeskTest, SendsAfterALostAnswerOnlyOnceTheRowSaysSo)
 {
   Handle(
@@ -67,6 +74,8 @@
   EXPECT_EQ(m_sent.size(), 1U);
 }
 
+// Guards against an order that is sent twice: its answer is lost, and the
+// sender loses the lease, regains it and reads its own order in the row.
 TEST_F(OrderDeskTest, NeverSendsAnOrderAgainAfterRegainingTheLease)
 {
   Handle(OrderWritten{
@@ -76,9 +85,11 @@
   Handle(AuthorityChanged{ true, 2, 2 });
   Handle(OpenRow());
   EXPECT_EQ(m_sent.size(), 1U);
-  EXPECT_EQ(m_settled, ""); // It may have arrived, or arrive yet.
+  // The order may have arrived already, or may still arrive.
+  EXPECT_EQ(m_settled, "");
 }
 
+/** How sending ended, and the expected settlement; empty: not settled. */
 struct EndCase
 {
   const char* m_name;
@@ -108,6 +119,8 @@
                     EndCase{ "Lost", SendResult::Lost, "" }),
   [](const auto& aInfo) { return std::string(aInfo.param.m_name); });
 
+// Guards against a lost order that is settled too early, while it may still
+// reach the engine, or that stays open although it can no longer arrive.
 TEST_F(OrderDeskTest, SettlesALostOrderByTheEnginesWordOrByItsSilence)
 {
   Handle(OrderWritten{
--- a/packages/authority/tests/PlannerWorld.cpp
+++ b/packages/authority/tests/PlannerWorld.cpp
@@ -9,7 +9,10 @@
 namespace {
 
 const std::string kHall = "hall";
-/** Longest life of a message in the network: half of what the desk waits. */
+/**
+ * Longest time of a message in transit: half of the time for which the order
+ * controller waits before it settles an order as never arrived.
+ */
 constexpr Duration kMessageLife = OrderDesk::kSilence / 2;
 
 } // namespace
@@ -49,7 +52,8 @@
 PlannerWorld::Feed(const std::string& aPlanner,
                    std::function<void(Planner&)> aEvent)
 {
-  // What reaches a paused process waits in its sockets.
+  // A paused planner executes no step, so the event waits, as it would in the
+  // sockets of a paused process.
   if (Planner* planner = Find(aPlanner)) {
     planner->m_todo.push_back([this, aPlanner, event = std::move(aEvent)] {
       if (Planner* found = Find(aPlanner)) {
@@ -80,7 +84,7 @@
 PlannerWorld::OnLease(Planner& aPlanner, const LeaseEvent& aEvent)
 {
   for (const LeaseAction& action : aPlanner.m_lease->Handle(aEvent, m_now)) {
-    // Its own step: a pause may fall before each thing that it does.
+    // Each action is a step of its own, so that a pause can fall before it.
     aPlanner.m_todo.push_back(
       [this, id = aPlanner.m_id, action] { Do(id, action); });
   }
@@ -117,7 +121,7 @@
         }
         const auto result = committed ? table::CommitResult::Committed
                                       : table::CommitResult::Conflict;
-        // The answer is on its way, and may be lost.
+        // The answer is a message of its own and may be lost.
         m_network.push_back(
           { m_now,
             [answer, result] { answer(result); },
@@ -375,7 +379,7 @@
       return aPlanner->m_lease->HasAuthority(m_now);
     });
   if (holders > 1) {
-    Fault("two planners with authority at once");
+    Fault("two planners have authority at the same time");
   }
 }
 
@@ -416,7 +420,8 @@
 {
   constexpr int kMostSteps = 60'000;
   m_options.m_disturbances = false;
-  m_pauseBeforeSend = false; // Drawn, and not come about yet.
+  // The schedule may have drawn a pause that has not begun yet.
+  m_pauseBeforeSend = false;
   for (const auto& planner : m_planners) {
     planner->m_paused = false;
   }
--- a/packages/authority/tests/PlannerWorld.h
+++ b/packages/authority/tests/PlannerWorld.h
@@ -16,17 +16,22 @@
 
 namespace ridgeferry::authority {
 
-/** The world's one engine. */
+/** Name of the only engine in the simulation. */
 inline const std::string kEngine = "engine";
-/** A scripted pause: a takeover and a successor's orders fit into it. */
+/**
+ * Length of a scripted pause of a planner, in rounds. Another planner can
+ * acquire the lease and send its own orders within this pause.
+ */
 inline constexpr int kPausedRounds = 110;
 
 /**
- * Several planners, engines and a table in virtual time. Every step of a
- * planner (an answer that arrives, a tick, the check before a send, the send
- * itself) is one step of the schedule, so pauses, kills and takings fall
- * between any two of them. Messages are delivered in any order, late, or
- * never. What an engine must never see is written to `Faults`.
+ * Simulation of several planners, one engine and the store in virtual time.
+ * Every step of a planner (the arrival of an answer, a tick, the check before
+ * an order is sent, the sending itself) is one step of the schedule, so a
+ * pause, a kill or an acquisition of the lease can fall between any two steps.
+ * Messages are delivered in any order, late, or never. The simulation checks
+ * what must never happen, such as an order that the engine accepts twice, and
+ * adds each violation to `Faults`.
  */
 class PlannerWorld
 {
@@ -35,34 +40,48 @@
 
   struct Options
   {
-    bool m_checksFencing = false; ///< Of the engine.
-    bool m_disturbances = true;   ///< Kills, pauses, losses.
+    /** Whether the engine refuses orders with old fencing numbers. */
+    bool m_checksFencing = false;
+    /** Whether the schedule also draws kills, pauses, lost messages, restarts
+     * of the engine and changes of its target. */
+    bool m_disturbances = true;
   };
 
   explicit PlannerWorld(Options aOptions);
 
+  /** Executes one step of a random schedule; `aNumber` determines which one. */
   void Step(std::uint32_t aNumber);
 
-  /** What may go wrong in one round of a scripted run. */
+  /** A failure or change that a scripted run injects in one round. */
   enum class Deviation
   {
     None,
-    KillFirst,       ///< Kill the planner that has lived longest.
-    PauseFirst,      ///< Pause it until long after a takeover.
-    PauseBeforeSend, ///< Pause whoever sends next, after its check.
-    DropOldest,      ///< Lose the oldest message.
-    HoldOldest,      ///< Keep it back for a while.
+    KillFirst, ///< Kill the planner that has run longest.
+    /** Pause the planner that has run longest until long after another planner
+     * has acquired the lease. */
+    PauseFirst,
+    /** Pause the planner that sends the next order, after it has checked its
+     * authority and before it sends. */
+    PauseBeforeSend,
+    DropOldest, ///< Lose the oldest message.
+    HoldOldest, ///< Delay the oldest message by some rounds.
     RestartEngine,
-    FlipTarget, ///< An operator wants the other role.
+    FlipTarget, ///< Change the target to the other role.
   };
 
   /**
-   * One round of a run without chance: each planner does one step, the two
-   * oldest messages arrive, a report leaves now and then, time goes on.
+   * Executes one round of a run without random choices: injects `aDeviation`,
+   * executes one step of each planner, delivers the two oldest messages, sends
+   * the engine's report every few rounds, and advances the time.
    */
   void Round(Deviation aDeviation);
-  /** Ends all disturbances and runs until the engine is as wanted. */
+  /**
+   * Ends all disturbances and runs until the engine has reached its target.
+   * Returns false if the engine has not reached it after a bounded number of
+   * steps.
+   */
   bool Settles();
+  /** Returns a description of each violation that the simulation has seen. */
   const std::vector<std::string>& Faults() const { return m_faults; }
   std::size_t OrdersTaken() const { return m_taken.size(); }
 
@@ -72,12 +91,15 @@
     std::string m_id;
     std::unique_ptr<Lease> m_lease;
     std::unique_ptr<OrderDesk> m_desk;
-    std::deque<std::function<void()>> m_todo; ///< What it does next, in order.
+    std::deque<std::function<void()>> m_todo; ///< Pending steps, in order.
     bool m_paused = false;
     bool m_alive = true;
   };
 
-  /** Something on its way; it is dropped when it is too old. */
+  /**
+   * A message in transit. Either `m_deliver` or `m_drop` is called, the latter
+   * if the message is lost or has been in transit for too long.
+   */
   struct Message
   {
     Instant m_sentAt;
@@ -128,15 +150,19 @@
   support::MemoryTable m_table;
   std::vector<std::unique_ptr<Planner>> m_planners;
   std::vector<Message> m_network;
-  std::vector<std::pair<int, Message>> m_held; ///< With the round to let go.
+  /** Delayed messages, each with the round in which it is in transit again. */
+  std::vector<std::pair<int, Message>> m_held;
   int m_round = 0;
   bool m_pauseBeforeSend = false;
-  /** Planners that a scripted run paused, with the round to wake them. */
+  /** Planners that a scripted run paused, each with the round that resumes it.
+   */
   std::vector<std::pair<int, std::string>> m_wakes;
   Engine m_engine;
   EngineTarget m_target;
   std::set<std::string> m_taken;
-  std::map<std::string, std::uint64_t> m_recordedAt; ///< Order to its place.
+  /** Order id to the position of the order among all recorded orders, from 1.
+   */
+  std::map<std::string, std::uint64_t> m_recordedAt;
   std::uint64_t m_lastTakenPlace = 0;
   int m_lastPlanner = 0;
   std::vector<std::string> m_faults;
--- a/packages/authority/tests/PlannerWorldEngine.cpp
+++ b/packages/authority/tests/PlannerWorldEngine.cpp
@@ -1,5 +1,5 @@
-// The engine of the planner world: it takes orders, is slow to carry them out,
-// reports, and restarts in the middle.
+// The simulated engine of PlannerWorld: it accepts orders, takes some time to
+// execute them, reports its state, and may restart while a change is under way.
 
 #include "PlannerWorld.h"
 
@@ -27,8 +27,8 @@
     answer(SendResult::NotSent);
     return;
   }
-  // Checked; the bytes leave in a later step, with a pause between if the
-  // schedule has one.
+  // The planner has checked its authority. The order is sent in a later step,
+  // so that the planner can be paused between the check and the sending.
   if (m_pauseBeforeSend) {
     m_pauseBeforeSend = false;
     PauseFor(planner, kPausedRounds);
@@ -65,37 +65,40 @@
     return;
   }
   if (!m_taken.insert(aOrder.m_id).second) {
-    Fault("order " + aOrder.m_id + " taken twice");
+    Fault("order " + aOrder.m_id + " was accepted twice");
   }
   const std::uint64_t place = m_recordedAt[aOrder.m_id];
   if (place == 0) {
-    Fault("order " + aOrder.m_id + " taken but not recorded");
+    Fault("order " + aOrder.m_id + " was accepted but not recorded");
   }
-  // An engine that ignores fencing must not take an order once a later one
-  // was recorded; one that checks must not take it after a later one.
+  // An engine that ignores fencing must not accept an order once a later order
+  // has been recorded. An engine that checks fencing must not accept an order
+  // after it has accepted a later order.
   const std::uint64_t latest =
     m_options.m_checksFencing ? m_lastTakenPlace : m_recordedAt.size();
   if (place < latest) {
-    Fault("order " + aOrder.m_id + " taken after a later one");
+    Fault("order " + aOrder.m_id + " was accepted after a later order");
   }
   m_lastTakenPlace = std::max(m_lastTakenPlace, place);
   m_engine.m_highest = std::max(m_engine.m_highest, aOrder.m_fencing);
   state.m_lastOrder = aOrder.m_id;
-  std::visit(Overloaded{ [&](const DrainOrder&) { state.m_draining = true; },
-                         [&](const ResumeOrder&) { state.m_draining = false; },
-                         [&](const auto&) {
-                           // An engine that checks nothing may restart, not
-                           // draining, while an order is on its way to it:
-                           // docs/PROMISES.md lists this as not kept.
-                           if (state.m_running > 0 &&
-                               aOrder.m_boot == state.m_bootId) {
-                             Fault("a change cut running work");
-                           }
-                           state.m_changing = true;
-                           m_engine.m_changeEnd = m_now + kChangeTime;
-                           m_engine.m_change = aOrder.m_kind;
-                         } },
-             aOrder.m_kind);
+  std::visit(
+    Overloaded{ [&](const DrainOrder&) { state.m_draining = true; },
+                [&](const ResumeOrder&) { state.m_draining = false; },
+                [&](const auto&) {
+                  // An engine that does not check fencing may restart
+                  // while an order is in transit, and is then no
+                  // longer draining. An order for an earlier boot is
+                  // therefore not counted here; docs/PROMISES.md
+                  // lists this case as not guaranteed.
+                  if (state.m_running > 0 && aOrder.m_boot == state.m_bootId) {
+                    Fault("a planned change began while requests were running");
+                  }
+                  state.m_changing = true;
+                  m_engine.m_changeEnd = m_now + kChangeTime;
+                  m_engine.m_change = aOrder.m_kind;
+                } },
+    aOrder.m_kind);
   reply(SendResult::Taken);
 }
 
--- a/packages/authority/tests/PlannerWorldTest.cpp
+++ b/packages/authority/tests/PlannerWorldTest.cpp
@@ -18,6 +18,8 @@
 class PlannerWorldTest : public ::testing::TestWithParam<bool>
 {};
 
+// Searches random schedules with kills, pauses and lost messages for one in
+// which orders conflict, for example because the engine accepts one twice.
 TEST_P(PlannerWorldTest, KeepsOrdersFromConflictingInAnySchedule)
 {
   const bool checksFencing = GetParam();
@@ -33,9 +35,11 @@
       RC_ASSERT(FirstFault(world) == "");
     });
   EXPECT_TRUE(held);
-  EXPECT_GT(taken, 0U) << "no schedule ever brought an order to the engine";
+  EXPECT_GT(taken, 0U) << "the engine accepted no order in any schedule";
 }
 
+// Guards against a state that the planners cannot leave: after any schedule of
+// failures, the engine must reach its target once the failures have ended.
 TEST_P(PlannerWorldTest, ReachesTheTargetOnceDisturbancesEnd)
 {
   const bool checksFencing = GetParam();
@@ -50,15 +54,17 @@
   }));
 }
 
-/** A round and what goes wrong in it. */
+/** A round of a scripted run and the deviation that is injected in it. */
 struct Mishap
 {
   std::size_t m_round = 0;
   PlannerWorld::Deviation m_deviation = PlannerWorld::Deviation::None;
 };
 
-/** Each of `aDeviations` in each round in which the first order of a run is
- * recorded, sent, taken and settled. */
+/**
+ * Returns each of `aDeviations` in combination with each of the rounds in which
+ * the first order of a run is recorded, sent, accepted and settled.
+ */
 std::vector<Mishap>
 MishapsOf(std::span<const PlannerWorld::Deviation> aDeviations)
 {
@@ -73,7 +79,10 @@
   return out;
 }
 
-/** Plays a run with these two mishaps; returns the orders that were taken. */
+/**
+ * Executes a scripted run with these two deviations, expects that no violation
+ * occurs, and returns the number of orders that the engine accepted.
+ */
 std::size_t
 PlayWith(const Mishap& aFirst, const Mishap& aSecond, bool aChecksFencing)
 {
@@ -95,8 +104,10 @@
   return world.OrdersTaken();
 }
 
-// Every run in which any one thing goes wrong, and every one in which two
-// planners' troubles meet: a bounded search, not a sample.
+// Searches exhaustively, not by random sampling, for two orders that conflict:
+// executes every run with one deviation, and every run with two deviations in
+// different positions of the list of those that interrupt the sending of an
+// order (a kill, a pause before sending, a delayed message).
 TEST_P(PlannerWorldTest, KeepsOrdersFromConflictingWhateverTwoThingsGoWrong)
 {
   using Deviation = PlannerWorld::Deviation;
@@ -121,7 +132,7 @@
       ++runs;
     }
   }
-  EXPECT_GT(taken, runs / 2) << "most runs must bring an order to the engine";
+  EXPECT_GT(taken, runs / 2) << "the engine must accept an order in most runs";
 }
 
 INSTANTIATE_TEST_SUITE_P(Engines,
--- a/packages/base/include/ridgeferry/base/StorePosition.h
+++ b/packages/base/include/ridgeferry/base/StorePosition.h
@@ -5,22 +5,24 @@
 namespace ridgeferry {
 
 /**
- * Which history of the store something belongs to. The store may come back from
- * a copy some seconds old: what it had acknowledged since is gone, its versions
- * go on from the copy's and are given out again, and its generation rises.
- * 0: the store tells none.
+ * Number of the store's history to which a row or version belongs. The store
+ * may be restored from a copy that is some seconds old. The writes that it had
+ * acknowledged since the copy are then lost, it assigns the versions after the
+ * copy's version a second time, and its generation rises. 0: the store reports
+ * no generation.
  */
 using StoreGeneration = std::uint64_t;
 
 /**
- * A place in what the store has acknowledged. Versions of two generations say
- * nothing of each other, so none is compared without its generation: a number
- * alone is no position and does not become one. A plain value.
+ * A position in the sequence of writes that the store has acknowledged.
+ * Versions of two generations cannot be compared, so a version is compared only
+ * together with its generation. For the same reason there is no conversion from
+ * a single number to a position. A plain value.
  */
 struct StorePosition
 {
   StoreGeneration m_generation = 0;
-  std::uint64_t m_version = 0; ///< Within the generation.
+  std::uint64_t m_version = 0; ///< Version within the generation.
 
   constexpr StorePosition() = default;
   constexpr StorePosition(StoreGeneration aGeneration, std::uint64_t aVersion)
@@ -30,7 +32,8 @@
   }
 
   constexpr bool operator==(const StorePosition&) const = default;
-  /** A later generation goes before any version. */
+  /** Compares the generations first, and the versions only if these are equal.
+   */
   constexpr bool operator<(const StorePosition& aOther) const
   {
     return m_generation == aOther.m_generation
--- a/packages/base/include/ridgeferry/base/UpstreamLife.h
+++ b/packages/base/include/ridgeferry/base/UpstreamLife.h
@@ -6,30 +6,39 @@
 
 namespace ridgeferry {
 
-/** How what is told of an upstream stands to what is held of it. */
+/**
+ * Order of the incarnation that a report on an upstream names, compared with
+ * the known incarnation of the upstream.
+ */
 enum class LifeOrder : std::uint8_t
 {
-  Same,    ///< Or it cannot be told, as one of them does not say.
-  Earlier, ///< It is of a life that has ended.
-  Later,   ///< The life that is held has ended.
+  /** The incarnations are equal, or cannot be compared because the start time
+   * of one of them is unknown. */
+  Same,
+  Earlier, ///< The report names an incarnation that has ended.
+  Later,   ///< The known incarnation has ended.
 };
 
 /**
- * One life of an upstream: a process that starts again under its id has none of
- * what the one before it had, neither its connections nor what it kept or was
- * ordered, nor its leaving. A plain value.
+ * One incarnation of an upstream, which is one run of its process. A process
+ * that starts again under the same id is a new incarnation. It has none of the
+ * connections, cached data and received orders of the earlier incarnation, and
+ * is not leaving merely because the earlier one was. A plain value.
  */
 struct UpstreamLife
 {
   std::string m_id;
-  /** Start of the process, in Unix milliseconds by its own clock; nothing: it
-   * does not say. */
+  /** Start time of the process, in Unix milliseconds by its own clock;
+   * std::nullopt if the upstream does not report it. */
   std::optional<std::int64_t> m_born = {};
 
   bool operator==(const UpstreamLife&) const = default;
 };
 
-/** How a life that is told stands to the one that is held, of one id. */
+/**
+ * Compares the start time that a report names with the known start time of the
+ * upstream with the same id.
+ */
 constexpr LifeOrder
 Compare(std::optional<std::int64_t> aHeldBorn,
         std::optional<std::int64_t> aToldBorn)
