--- a/packages/entry/include/ridgeferry/entry/Dialect.h
+++ b/packages/entry/include/ridgeferry/entry/Dialect.h
@@ -19,104 +19,128 @@
 
 namespace ridgeferry::entry {
 
-/** What the head of a caller's request says. */
+/** The fields of a caller's request head that routing uses. */
 struct CallHead
 {
-  std::string m_id; ///< The caller's id of this attempt; empty: none.
+  /** The caller's id of this attempt; empty if it sent none. */
+  std::string m_id;
   std::string m_host;
-  std::string m_path;                 ///< Without the query.
-  std::optional<Duration> m_deadline; ///< How long the caller will wait.
+  std::string m_path; ///< The path without the query.
+  /** How long the caller waits for the answer; std::nullopt if it names no
+   * deadline. */
+  std::optional<Duration> m_deadline;
   std::optional<relay::Prompt> m_prompt;
-  std::string m_caller; ///< Its credentials; empty: it shows none.
+  std::string m_caller; ///< The caller's credentials; empty if it sent none.
 };
 
-/** What one send to an upstream is to say besides the caller's own words. */
+/** What one request to an upstream carries in addition to the caller's request.
+ */
 struct SendTerms
 {
   std::string m_address; ///< IP:PORT of the upstream.
   std::string m_upstream;
-  Duration m_left{}; ///< How long the caller will still wait.
+  Duration m_left{}; ///< Time left until the caller's deadline.
   int m_priority = 0;
-  bool m_readOnly = false;     ///< Read the prompt and keep it; do not run.
-  std::string m_fetchAddress;  ///< Keeps part of the prompt; empty: nobody.
-  std::string m_readerAddress; ///< Holds the prompt's memory; empty: nobody.
-  std::string m_handle;        ///< Of that memory.
-  std::string m_resumeAfter;   ///< Event id to go on after; empty: as asked.
+  /** If true, the engine prefills the prompt and caches the result, but does
+   * not decode. */
+  bool m_readOnly = false;
+  /** Address of an engine that has a prefix of the prompt cached, from which
+   * the upstream can fetch it; empty if there is none. */
+  std::string m_fetchAddress;
+  /** Address of the prefill engine that holds the KV cache of the prompt; empty
+   * if there is none. */
+  std::string m_readerAddress;
+  std::string m_handle; ///< Handle of the KV cache on the prefill engine.
+  /** Id of the event after which the answer's stream resumes; empty to send
+   * what the caller asked for. */
+  std::string m_resumeAfter;
 };
 
-/** A read of the store: a table whole, or what changed in it. */
+/** A read of one table of the store: either of all rows, page by page, or of
+ * the changes after a position. */
 struct StoreRead
 {
   std::string m_table;
-  std::string m_fromKey; ///< Of a whole read: the first key of the page.
-  std::optional<StorePosition> m_after; ///< Changes after this position.
-  Duration m_wait{};                    ///< How long changes may be awaited.
+  std::string m_fromKey; ///< First key of the page, in a read of all rows.
+  /** If set, reads the changes after this position; otherwise reads all rows.
+   */
+  std::optional<StorePosition> m_after;
+  /** How long the store may wait for changes before it answers. */
+  Duration m_wait{};
 };
 
-/** A page of rows. */
+/** One page of rows in the answer to a store read. */
 struct StorePage
 {
   std::vector<relay::FollowedRow> m_rows;
-  std::uint64_t m_version = 0; ///< In the generation that the answer tells.
+  /** Version of the table within the generation that the answer names. */
+  std::uint64_t m_version = 0;
   bool m_hasMore = false;
 };
 
-/** Changes rows of one table, all or none of them. */
+/** A transaction on one table of the store: it changes all its rows or none. */
 struct StoreCommit
 {
   std::string m_table;
   table::Transaction m_transaction;
 };
 
-/** An order to an engine to do something else. */
+/** An order to an engine to change its role. */
 struct PartOrder
 {
   std::string m_address; ///< IP:PORT of the engine.
   std::string m_engine;
   relay::Part m_to = relay::Part::Prefill;
-  std::int64_t m_expectedOrders = 0; ///< Void unless it has taken so many.
-  std::string m_holder;              ///< Of the right to order.
+  /** Number of orders that the engine must have accepted before; otherwise the
+   * order is void. */
+  std::int64_t m_expectedOrders = 0;
+  /** The instance that holds the lease which permits orders. */
+  std::string m_holder;
   std::uint64_t m_fencing = 0;
 };
 
-/** The store does not know the changes that were asked for. */
+/** The store no longer has the history that was asked for, so that the table
+ * must be read whole. */
 struct StoreForgot
 {};
 
-/** What the answer to a store read means. */
+/** Result of a store read: a page of rows, a lost history, or a failure. */
 using StoreAnswer = std::variant<StorePage, StoreForgot, relay::ReadFailed>;
 
-/** What an answer of the store says of its generation: one, nothing, or what is
- * no number. */
+/** The generation that an answer of the store names: std::nullopt if it names
+ * none. The error is the text that the answer has in place of a number. */
 using ToldGeneration =
   tl::expected<std::optional<StoreGeneration>, std::string>;
 
-/**
- * How a platform spells what this package decides. Each member only
- * translates: none decides, waits, repeats or remembers. All must be set.
- */
+/** Translates between this package and the wire format of a platform. The slots
+ * only translate: they do not decide, wait, retry or keep state. All must be
+ * set. */
 struct Dialect
 {
   sigc::slot<CallHead(const net::ReceivedRequest&)> m_readCall;
   sigc::slot<net::HttpRequest(const net::ReceivedRequest&, const SendTerms&)>
     m_writeSend;
-  /** Whether the upstream says that it has not run the call. */
+  /** Returns true if the upstream's answer says that it has not run the call.
+   */
   sigc::slot<bool(const net::HttpHead&)> m_saysNotRun;
-  /** The handle that a reader's answer names; empty: none. */
+  /** Returns the KV cache handle in the body of a prefill engine's answer;
+   * empty if it has none. */
   sigc::slot<std::string(std::string_view)> m_readHandle;
   sigc::slot<net::HttpRequest(const std::string& aAddress,
                               const std::string& aHandle)>
     m_writeFreeHandle;
   sigc::slot<net::HttpRequest(const StoreRead&)> m_writeStoreRead;
   sigc::slot<StoreAnswer(const net::HttpResponse&)> m_readStoreAnswer;
-  /** Of any answer of the store. */
+  /** Reads the generation from the head of any answer of the store. */
   sigc::slot<ToldGeneration(const net::HttpHead&)> m_readGeneration;
   sigc::slot<net::HttpRequest(const StoreCommit&)> m_writeStoreCommit;
-  /** What is known of a commit by its answer, or by the lack of one. */
+  /** Returns what the answer to a commit, or the lack of an answer, shows about
+   * its outcome. */
   sigc::slot<table::CommitResult(const net::HttpResponse&)> m_readStoreCommit;
-  /** Asks the engine at an address what it does. */
+  /** Writes a request for the report of the engine at `aAddress`. */
   sigc::slot<net::HttpRequest(const std::string& aAddress)> m_writeReportAsk;
-  /** Nothing: no whole report. */
+  /** Returns the engine's report; std::nullopt if the response has no complete
+   * one. */
   sigc::slot<std::optional<relay::EngineReport>(const net::HttpResponse&)>
     m_readReport;
   sigc::slot<net::HttpRequest(const PartOrder&)> m_writePartOrder;
@@ -131,9 +155,12 @@
   std::string m_configTable;
   std::string m_configKey;
   std::string m_memberTable;
-  std::string m_instanceTable; ///< Ours: a row an instance, its address.
-  std::string m_leaseTable;    ///< Ours: who may order engines.
-  /** Ours: calls that end their upstreams. */
+  /** Table of ridgeferry itself: one row for each instance, with its address.
+   */
+  std::string m_instanceTable;
+  /** Table of ridgeferry itself: the lease that permits orders to engines. */
+  std::string m_leaseTable;
+  /** Table of ridgeferry itself: calls during which upstreams crashed. */
   std::string m_quarantineTable;
 };
 
--- a/packages/entry/include/ridgeferry/entry/Entry.h
+++ b/packages/entry/include/ridgeferry/entry/Entry.h
@@ -9,21 +9,22 @@
 
 namespace ridgeferry::entry {
 
-/**
- * One process that passes calls through to upstreams, with routes and
- * upstreams followed from a store. One loop, one thread; not thread-safe.
- */
+/** One process that forwards calls to upstreams, with routes and upstreams
+ * followed from a store. Runs one event loop in one thread; not thread-safe. */
 class Entry
 {
 public:
-  /** Error: an address is taken. `aFile` is read again when it changes. */
+  /** Returns an error if the log cannot be opened or a listening address cannot
+   * be bound. `aFile` is the settings file; it is read again whenever it
+   * changes. */
   static tl::expected<std::unique_ptr<Entry>, net::NetError>
   Make(EntrySettings aSettings, std::string aFile, Dialect aDialect);
   ~Entry();
   Entry(const Entry&) = delete;
   Entry& operator=(const Entry&) = delete;
 
-  /** Serves until a planned stop (SIGTERM or SIGINT) has ended. */
+  /** Serves until a planned stop, which SIGTERM or SIGINT begins, has finished.
+   */
   void Run();
 
   struct Impl;
--- a/packages/entry/include/ridgeferry/entry/EntrySettings.h
+++ b/packages/entry/include/ridgeferry/entry/EntrySettings.h
@@ -10,15 +10,18 @@
 
 namespace ridgeferry::entry {
 
-/** What the instances together may send again, as operators bound it. */
+/** Limits on the retries that all instances together may send; operators set
+ * them. */
 struct RetryBounds
 {
-  double m_ratio = 0.2; ///< Repeats for each first send of a service.
-  double m_floor = 50;  ///< Repeats besides, in each window.
+  /** Retries allowed for each first attempt of a service's calls. */
+  double m_ratio = 0.2;
+  /** Retries allowed in each window in addition to that ratio. */
+  double m_floor = 50;
   Duration m_window{ 10'000 };
 };
 
-/** Settings of an instance that passes calls through; docs/SETTINGS.md. */
+/** Settings of an instance that forwards calls; see docs/SETTINGS.md. */
 struct EntrySettings
 {
   std::string m_instance;
@@ -26,24 +29,31 @@
   net::Address m_callers;
   net::Address m_readiness;
   net::Address m_metrics;
-  net::Address m_peers; ///< UDP; the port is the same at all instances.
-  /** Addresses of some instances, at any port; they may be out of date. */
+  /** Address for messages between instances (UDP) and for their row requests
+   * (TCP); all instances use the same port. */
+  net::Address m_peers;
+  /** Addresses of some other instances. Their ports are ignored, and they may
+   * be out of date. */
   std::vector<net::Address> m_seeds;
-  std::string m_store; ///< IP:PORT.
-  /** From a planned stop's signal to the process's end by force. */
+  std::string m_store; ///< IP:PORT of the store.
+  /** Longest time from the signal for a planned stop until the process ends,
+   * even if calls are still running. */
   Duration m_stopGrace{ 8000 };
   RetryBounds m_retries;
-  /** Shortest time between the orders of two instances to engines. */
+  /** Shortest time between the orders that two instances send to engines. */
   Duration m_orderTurn{ 3000 };
-  /** Calls under which upstreams end are given to no further ones. */
+  /** Whether calls during which upstreams crash are quarantined, that is, sent
+   * to no further upstream. */
   bool m_quarantines = true;
 };
 
-/** Thread-safe. `aFile` is used in errors only. */
+/** Parses settings from JSON text. `aFile` only names the file in errors.
+ * Thread-safe. */
 tl::expected<EntrySettings, SettingsError>
 ParseEntrySettings(std::string_view aText, const std::string& aFile);
 
-/** Thread-safe. Error: unreadable, no JSON, or fields that are wrong. */
+/** Reads and parses a settings file. Returns an error if the file cannot be
+ * read, is not JSON, or has invalid fields. Thread-safe. */
 tl::expected<EntrySettings, SettingsError>
 LoadEntrySettings(const std::string& aFile);
 
--- a/packages/entry/include/ridgeferry/entry/PassableHeaders.h
+++ b/packages/entry/include/ridgeferry/entry/PassableHeaders.h
@@ -4,8 +4,9 @@
 
 namespace ridgeferry::entry {
 
-/** The headers of a message that concern more than its one connection, without
- * those that delimit its body. Thread-safe. */
+/** Returns the end-to-end headers of a message, which a proxy forwards: those
+ * that concern only its connection or delimit its body are left out.
+ * Thread-safe. */
 net::HttpHeaders
 PassableHeaders(const net::HttpHeaders& aHeaders);
 
--- a/packages/entry/src/Entry.cpp
+++ b/packages/entry/src/Entry.cpp
@@ -17,8 +17,9 @@
 
 namespace {
 
-/** Lapses, changes of the settings file and the stop are checked this often:
- * well inside the bounds of seconds that they are to keep. */
+/** Interval at which grace periods, changes of the settings file and the
+ * progress of a planned stop are checked. It is well below the bounds of
+ * seconds that these must keep. */
 constexpr Duration kTick{ 200 };
 constexpr int kOk = 200;
 constexpr int kUnavailable = 503;
@@ -43,7 +44,8 @@
                      aLeft->tv_nsec == aRight->tv_nsec));
 }
 
-/** Of a document's faults, the first ones: a line of the log stays short. */
+/** Formats the first few faults of a document, so that the log line stays
+ * short. */
 std::string
 FaultsText(std::span<const FieldError> aFaults)
 {
@@ -66,8 +68,8 @@
   std::optional<timespec> m_fileTime;
   StoreGenerations m_generations{ m_node };
   relay::GoneUpstreams m_gone;
-  /** Text of the configuration in force, and the generation of the store that
-   * was last seen to have it. */
+  /** Text of the configuration in force, and the latest store generation in
+   * which it was seen. */
   std::string m_configText;
   StoreGeneration m_configGeneration = 0;
   std::unique_ptr<Peers> m_peers;
@@ -87,7 +89,8 @@
   void WatchSignals();
   void TakeConfig(const relay::ApplyRows& aRows);
   void TakeConfigRow(const relay::FollowedRow& aRow);
-  /** See `relay::KeepsKnown`: never an older configuration. */
+  /** Decides for `relay::KeepsKnown` whether a known row outlasts an older copy
+   * of the store: an older configuration never replaces a newer one. */
   bool KeepsConfig(std::string_view aKey,
                    std::string_view aKnown,
                    const std::string* aTold);
@@ -97,22 +100,28 @@
                   bool aIsCopy);
   void PutMember(const relay::Member& aMember);
   void ReleaseHeld();
-  /** The list has another life of an upstream than was held. */
+  /** Handles a listed upstream whose incarnation differs from the known one.
+   * Forgets what was announced and ordered for the earlier incarnation if the
+   * listed one is later. */
   void NoteOtherLife(const relay::Member& aMember, LifeOrder aOrder);
   void TakeRemoval(const std::string& aUpstream,
                    std::optional<Instant> aLapsesUntil);
-  /** Since when instances of a hall read the store as it is now: reads of a
-   * generation that has ended say nothing of the present rows. */
+  /** Returns since when instances of a data centre have been reading the store
+   * in its current generation; std::nullopt if none reads it. Reads of an
+   * earlier generation say nothing about the present rows. */
   std::optional<Instant> HallReadsSince(std::string_view aHall) const;
-  /** Peers may have told since that upstreams of their hall have not lapsed. */
+  /** Shortens the grace periods of expired upstreams for each data centre whose
+   * instances are known to read the store again: an upstream that still exists
+   * would have renewed its row by then. */
   void BoundGraces();
   bool IsReady() const;
   membership::StoreView StoreView() const;
   void Tick();
-  /** Rows of a table came: the others of this hall are to know. */
+  /** Updates the announced store position after a read, and notifies the
+   * instances of this data centre if this one polls the store. */
   void TellRead();
   void NoteReadiness();
-  /** What is only looked at when the metrics are asked for. */
+  /** Updates the gauges that are computed only when metrics are requested. */
   void NoteGauges();
   void Reload();
   void BeginStop();
@@ -136,7 +145,7 @@
   }
   const auto known = m_node.m_dialect.m_readConfig(aKnown);
   if (!known) {
-    return false; // It never was in force.
+    return false; // An invalid configuration was never in force.
   }
   const auto told = aTold == nullptr ? tl::unexpected(std::vector<FieldError>{})
                                      : m_node.m_dialect.m_readConfig(*aTold);
@@ -179,8 +188,9 @@
   const auto version = static_cast<std::int64_t>(config->m_version);
   const StoreGeneration generation =
     m_config->Follower().Position().m_generation;
-  // Of one number, the text that the standing history of the store has: all
-  // instances read that one sooner or later.
+  // If two configurations have the same number but different text, the one from
+  // the later generation of the store replaces the other: all instances read
+  // that one sooner or later.
   const bool isOther = config->m_version == held &&
                        generation > m_configGeneration &&
                        aRow.m_value != m_configText;
@@ -237,7 +247,7 @@
       { { "upstream", aRow.m_key },
         { "version", static_cast<std::int64_t>(aRow.m_version) },
         { "faults", FaultsText(member.error()) } });
-    // Another writer's row has taken the place of the upstream's own.
+    // Another writer has overwritten the upstream's own row.
     TakeRemoval(aRow.m_key, std::nullopt);
     return;
   }
@@ -292,7 +302,8 @@
     { { "upstream", aMember.m_id }, { "born", aMember.m_born.value_or(0) } });
   if (isLater) {
     m_node.m_metrics.Count("upstreams_born_again_total");
-    // What was told and ordered was meant for the earlier life.
+    // The announcements and orders so far were meant for the earlier
+    // incarnation.
     m_peers->NoteGone(aMember.m_id);
     m_parts->NoteGone(aMember.m_id);
     m_quarantine->NoteLaterLife(aMember.m_id);
@@ -350,7 +361,8 @@
 Entry::Impl::TellRead()
 {
   m_peers->SetStoreView(StoreView());
-  // Those that rest wait for this word; in their place it would be told twice.
+  // Only pollers notify: instances on standby wait for this message, and if
+  // they sent it too, it would be sent twice.
   if (m_peers->IsOnDuty()) {
     m_peers->TellHall();
   }
@@ -431,7 +443,7 @@
                         { { "faults", FormatSettingsError(loaded.error()) } });
     return;
   }
-  // Addresses that are bound stay until the process ends.
+  // Listening addresses that are bound remain in use until the process ends.
   m_node.m_settings.m_store = loaded->m_store;
   m_node.m_settings.m_stopGrace = loaded->m_stopGrace;
   m_node.m_settings.m_retries = loaded->m_retries;
--- a/packages/entry/src/EntryNode.h
+++ b/packages/entry/src/EntryNode.h
@@ -14,7 +14,7 @@
 
 namespace ridgeferry::entry {
 
-/** What all parts of one process share. */
+/** State that all components of one process share. */
 struct EntryNode
 {
   EntrySettings m_settings;
@@ -25,10 +25,10 @@
   observe::Metrics m_metrics;
   std::mt19937_64 m_random;
   relay::Fleet m_fleet;
-  /** Alive, this one with them; kept by `Peers`. */
+  /** Number of live instances, including this one; `Peers` updates it. */
   std::size_t m_instances = 1;
   relay::PlannedStop m_stop;
-  /** In force; null until the first was read. */
+  /** The routes in force; null until the first configuration has been read. */
   std::shared_ptr<const relay::RouteTable> m_routes;
 
   Instant Now() const { return m_loop->Now(); }
--- a/packages/entry/src/EntrySettings.cpp
+++ b/packages/entry/src/EntrySettings.cpp
@@ -9,7 +9,8 @@
 namespace {
 
 constexpr double kLongestGraceS = 3600;
-/** Far above what any fleet could repeat in a window. */
+/** Upper limit of the setting, far above the retries that any fleet could send
+ * in a window. */
 constexpr double kMostFloor = 1e6;
 constexpr double kLongestWindowS = 3600;
 constexpr std::int64_t kLongestTurnMs = 3'600'000;
@@ -86,7 +87,8 @@
   out.m_instance = reader.RequiredString("instance");
   out.m_hall = reader.RequiredString("hall");
   if (!reader.Has("listen")) {
-    reader.Fail("listen", "an object with callers, readiness and metrics");
+    reader.Fail("listen",
+                "an object with callers, readiness, metrics and peers");
   }
   reader.Object("listen",
                 [&](FieldReader& aListen) { ReadListen(aListen, out); });
--- a/packages/entry/src/PartKeeper.cpp
+++ b/packages/entry/src/PartKeeper.cpp
@@ -10,36 +10,45 @@
 
 namespace {
 
-/** The lease covers the engines of all halls: plans need them together. */
+/** One lease covers the engines of all data centres, because a plan considers
+ * them together. */
 constexpr const char* kScope = "engines";
-/** Row of the lease's table: hashes of the services whose engines cannot read
- * beside the output, for instances that start later. */
+/** Row of the lease's table with the hashes of the services whose decode
+ * engines cannot prefill without pausing their output streams for too long, so
+ * that their prefill is disaggregated. Instances that start later read this
+ * row. */
 constexpr const char* kFoundKey = "found/apart";
 constexpr Duration kTick{ 50 };
-/** Instances that try for a free lease; the others read it seldom. */
+/** Number of instances that try to acquire a free lease; the others read it
+ * once. */
 constexpr std::size_t kContenders = 2;
-/** Age of a process below which it does not try: it has not heard of the others
- * yet, and with hundreds that start at once each would. Twice the longest time
- * between two words of a peer of its hall. */
+/** A process younger than this does not try to acquire the lease: it has not
+ * yet received heartbeats from the others, and when hundreds start at once each
+ * would try. The value is twice the longest time between two heartbeats of a
+ * peer in the same data centre. */
 constexpr Duration kHearOthers{ 500 };
 constexpr Duration kStoreTimeout{ 1000 };
-/** An engine answers within milliseconds; what is later counts as lost. */
+/** Engines answer within milliseconds; later answers count as lost. */
 constexpr Duration kEngineTimeout{ 600 };
-/** How long a need of generating engines is remembered: about the time between
- * two swings of the mix, so that engines do not follow each of them. */
+/** Time constant, in milliseconds, with which the remembered need for decode
+ * engines decays. It is about the time between two swings of the traffic mix,
+ * so that engines do not follow each swing. */
 constexpr double kNeedMemoryMs = 10'000;
 
 authority::LeaseTimes
 TimesFor(Duration aTurn)
 {
-  // A holder stops ordering a margin before its term's end, and a taker waits a
-  // margin longer: between the orders of two holders lie 1.4 turns.
+  // The holder stops sending orders one margin before its term ends, and its
+  // successor waits one margin longer. So 1.4 turns lie between the orders of
+  // two holders.
   authority::LeaseTimes out;
   out.m_term = aTurn * 5 / 3;
   out.m_margin = aTurn * 7 / 10;
   out.m_renewEvery = aTurn / 3;
   out.m_pollEvery = aTurn / 3;
-  out.m_seldom = 0; // With hundreds of instances it would be most of the calls.
+  // Instances that do not contend read the lease once and do not poll it: with
+  // hundreds of instances their polls would be most of the store's calls.
+  out.m_seldom = 0;
   return out;
 }
 
@@ -65,7 +74,9 @@
   m_began = m_node.Now();
   m_generations.SignalRisen().connect([this](StoreGeneration aGeneration) {
     HandleLease(authority::LeaseGeneration{ aGeneration });
-    m_written.clear(); // It may be lost: the next holder writes it again.
+    // The new generation of the store may lack the row, so the next lease
+    // holder writes it again.
+    m_written.clear();
   });
   m_tick = m_node.m_loop->Every(kTick, [this] { Tick(); });
 }
@@ -96,8 +107,8 @@
   const bool mayOrder =
     !m_node.m_stop.HasBegun() && m_lease.HasAuthority(m_node.Now());
   HandleDesk(relay::DeskTick{ mayOrder });
-  // While listed engines may only have lapsed, a plan would replace what is
-  // still there.
+  // Does not plan while listed engines are in a grace period after their rows
+  // expired: a plan would replace engines that may still be running.
   if (mayOrder) {
     KeepFound();
   }
@@ -126,7 +137,7 @@
 {
   if (m_node.m_fleet.ReadsBeside(aService.m_name)) {
     m_plans.erase(aService.m_name);
-    return; // Generating engines read well enough as they are.
+    return; // Decode engines also prefill fast enough, so roles need no plan.
   }
   ServicePlan& plan = m_plans[aService.m_name];
   const double needed = NeededNow(aService, plan);
@@ -193,11 +204,11 @@
   callbacks.m_done = [this](const net::HttpResponse& aResponse) {
     authority::LeaseRead event;
     event.m_generation = m_generations.Of(aResponse);
-    m_generations.Note(event.m_generation, "the lease");
+    m_generations.Note(event.m_generation, "a call for the lease");
     const bool whole = aResponse.m_end == net::HttpEnd::Complete;
     const StoreAnswer answer =
       whole ? m_node.m_dialect.m_readStoreAnswer(aResponse)
-            : StoreAnswer(relay::ReadFailed{ "no whole answer" });
+            : StoreAnswer(relay::ReadFailed{ "no complete answer" });
     if (const auto* page = std::get_if<StorePage>(&answer)) {
       event.m_lease = { table::ReadStatus::Ok,
                         { authority::LeaseKey(kScope), 0, {} } };
@@ -260,7 +271,8 @@
   m_writing = true;
   callbacks.m_done = [this, found](const net::HttpResponse& aResponse) {
     m_writing = false;
-    m_generations.Note(m_generations.Of(aResponse), "what is found");
+    m_generations.Note(m_generations.Of(aResponse),
+                       "services found to need disaggregated prefill");
     if (m_node.m_dialect.m_readStoreCommit(aResponse) ==
         table::CommitResult::Committed) {
       m_written = found;
@@ -279,7 +291,7 @@
   net::HttpCallbacks callbacks;
   callbacks.m_done =
     [this, attempt = aAction.m_attempt](const net::HttpResponse& aResponse) {
-      m_generations.Note(m_generations.Of(aResponse), "the lease");
+      m_generations.Note(m_generations.Of(aResponse), "a call for the lease");
       HandleLease(authority::LeaseWritten{
         attempt, m_node.m_dialect.m_readStoreCommit(aResponse) });
     };
@@ -345,7 +357,8 @@
   order.m_holder = m_node.m_settings.m_instance;
   order.m_fencing = m_lease.Fencing();
   net::HttpRequest request = m_node.m_dialect.m_writePartOrder(order);
-  // It must not wait on a connection that has fallen silent, nor go out later.
+  // A fresh connection avoids an order that waits on an unresponsive connection
+  // and goes out later.
   request.m_fresh = true;
   request.m_timeout = kEngineTimeout;
   request.m_connectTimeout = kEngineTimeout;
@@ -373,8 +386,9 @@
 void
 PartKeeper::Do(const relay::TellNews&)
 {
-  m_newsChanged =
-    true; // Told once a tick: one talk to all costs a millisecond.
+  // Updates are sent once per tick, because a message to all instances costs a
+  // millisecond.
+  m_newsChanged = true;
 }
 
 void
--- a/packages/entry/src/PartKeeper.h
+++ b/packages/entry/src/PartKeeper.h
@@ -10,19 +10,18 @@
 
 namespace ridgeferry::entry {
 
-/**
- * Keeps engines doing what the load asks for: one instance at a time holds the
- * lease of the whole deployment, plans and orders; the others follow the news.
- * While nobody holds it, engines stay what they are. Not thread-safe.
- */
+/** Reconciles the roles of engines with the load. One instance at a time holds
+ * the lease of the whole deployment, plans roles and sends orders to engines;
+ * the others apply the role updates that it announces. While no instance holds
+ * the lease, engines keep their roles. Not thread-safe. */
 class PartKeeper
 {
 public:
-  /** Precondition: all outlive it. */
+  /** The arguments must outlive this object. */
   PartKeeper(EntryNode& aNode, StoreGenerations& aGenerations, Peers& aPeers);
 
   void Start();
-  /** An engine has left the list. */
+  /** Notes that an engine has been removed from the list of upstreams. */
   void NoteGone(const std::string& aEngine);
 
 private:
@@ -30,11 +29,13 @@
   void Plan();
   void PlanService(const relay::Service& aService,
                    std::vector<relay::PartChange>& aChanges);
-  /** Takes what was found before; `aServices`: the row's words. */
+  /** Restores the services that need disaggregated prefill. `aServices` is the
+   * row's value: their hashes, separated by blanks. */
   void Recall(const std::string& aServices);
-  /** Writes what is found now, if it has changed. */
+  /** Writes the services that need disaggregated prefill to the store, if they
+   * have changed. */
   void KeepFound();
-  /** Tells the others, if the desk's news have changed. */
+  /** Sends the role updates to the other instances, if they have changed. */
   void TellNews();
   void HandleLease(const authority::LeaseEvent& aEvent);
   void HandleDesk(const relay::DeskEvent& aEvent);
@@ -46,12 +47,13 @@
   void Do(const relay::SendPartOrder& aAction);
   void Do(const relay::TellNews& aAction);
 
-  /** The parts of one service's engines. */
+  /** Plan of roles for the engines of one service. */
   struct ServicePlan
   {
     relay::PartPlanner m_planner;
-    double m_held = 0; ///< Most engines that the output needed lately.
-    Instant m_at;      ///< Of that.
+    /** Decaying maximum of the number of decode engines needed. */
+    double m_held = 0;
+    Instant m_at; ///< When `m_held` was last updated.
   };
 
   double NeededNow(const relay::Service& aService, ServicePlan& aPlan);
@@ -61,8 +63,10 @@
   Peers& m_peers;
   authority::Lease m_lease;
   relay::PartDesk m_desk;
-  std::map<std::string, ServicePlan> m_plans; ///< By service.
-  std::string m_written; ///< Of what is found, as the store has it.
+  std::map<std::string, ServicePlan> m_plans; ///< Plans by name of service.
+  /** Last known value of the store's row of services that need disaggregated
+   * prefill. */
+  std::string m_written;
   bool m_writing = false;
   bool m_newsChanged = false;
   Instant m_began;
--- a/packages/entry/src/PeerRows.cpp
+++ b/packages/entry/src/PeerRows.cpp
@@ -10,11 +10,13 @@
 constexpr int kBadRequest = 400;
 constexpr int kNotFound = 404;
 constexpr const char* kPath = "/rows";
-/** A peer answers within milliseconds; one that is slow or gone is not waited
- * for, as another one or the store has the same. A whole table of a hundred
- * kilobytes takes 0.1 s at the smallest links. */
+/** Time-out of a request to a peer. Peers answer within milliseconds; a slow or
+ * dead one is not waited for, because another peer or the store has the same
+ * rows. A whole table of a hundred kilobytes takes 0.1 s on the slowest links.
+ */
 constexpr Duration kTimeout{ 300 };
-/** Longest request that is read: a table's name and a version. */
+/** Longest accepted request body, in bytes: it holds a table's name and a
+ * position. */
 constexpr std::size_t kMostBody = 1024;
 
 std::string
@@ -123,7 +125,8 @@
   request.m_timeout = kTimeout;
   request.m_connectTimeout = kTimeout;
   request.m_fresh = true;
-  request.m_keepIdle = 0; // The next one is asked of another.
+  // The connection is not kept, because the next request goes to another peer.
+  request.m_keepIdle = 0;
   m_node.m_metrics.Count("peer_rows_asked_total");
   net::HttpCallbacks callbacks;
   callbacks.m_done = [this, aAnswered](const net::HttpResponse& aResponse) {
--- a/packages/entry/src/PeerRows.h
+++ b/packages/entry/src/PeerRows.h
@@ -8,31 +8,34 @@
 
 namespace ridgeferry::entry {
 
-/**
- * Passes the rows of followed tables on between instances: answers those of
- * others, and asks others for this one. Not thread-safe.
+/** Exchanges the rows of followed tables between instances: answers the
+ * requests of other instances and sends requests for this one. Not thread-safe.
  */
 class PeerRows
 {
 public:
   using Table = Peers::Table;
-  /** What this instance has read of a table after a position. */
+  /** Returns what this instance has read of a table after a position. */
   using Source = sigc::slot<relay::TableSlice(StorePosition)>;
-  /** What the peer answered; nothing: none did, or it was of no use. */
+  /** Receives the peer's answer; std::nullopt if no peer answered or the answer
+   * was invalid. */
   using Answered = sigc::slot<void(std::optional<relay::TableSlice>)>;
 
-  /** Precondition: `aPeers` outlives it. */
+  /** `aNode` and `aPeers` must outlive this object. */
   PeerRows(EntryNode& aNode, const Peers& aPeers);
 
-  /** Listens at the address of the datagrams, by TCP. */
+  /** Listens by TCP at the address that the instance uses for datagrams.
+   * Returns an error if the address cannot be bound. */
   tl::expected<void, net::NetError> Start();
   void Serve(Table aTable, Source aSource);
-  /** The same of what instances keep among themselves, under a name. */
+  /** Serves data that instances exchange among themselves and that is no
+   * followed table, under a name. */
   void Serve(const std::string& aName, Source aSource);
-  /** Asks one that has read changes after a position; `aAnswered` comes later,
-   * once. */
+  /** Asks a peer that has read changes of a table after `aAfter`. Calls
+   * `aAnswered` exactly once, later. */
   void Ask(Table aTable, StorePosition aAfter, const Answered& aAnswered);
-  /** The same of one peer, by IP:PORT, and by a name. */
+  /** Asks the given peer (IP:PORT) for what it serves under `aName`. Calls
+   * `aAnswered` exactly once, later. */
   void AskPeer(const std::string& aPeer,
                const std::string& aName,
                StorePosition aAfter,
@@ -44,7 +47,8 @@
 
   EntryNode& m_node;
   const Peers& m_peers;
-  std::map<std::string, Source, std::less<>> m_sources; ///< By table's name.
+  /** Sources by name of table. */
+  std::map<std::string, Source, std::less<>> m_sources;
   std::unique_ptr<net::HttpServer> m_server;
 };
 
--- a/packages/entry/src/Peers.cpp
+++ b/packages/entry/src/Peers.cpp
@@ -9,41 +9,44 @@
 
 namespace {
 
-/**
- * How often an instance tells the others what it has under way. A long prompt
- * occupies an engine for some tens of milliseconds; older news would send the
- * next ones to the same engine. Larger deployments talk less often: each other
- * instance adds its part, so that the bytes stay bounded.
- */
+/** Interval at which an instance sends its load to the others. A long prompt
+ * occupies an engine for some tens of milliseconds; with older loads the next
+ * prompts would go to the same engine. Larger deployments send less often: the
+ * interval grows by `kTalkEachPeer` with each other instance, so that the
+ * bandwidth stays bounded. */
 constexpr Duration kTalkEvery{ 40 };
 constexpr Duration kTalkEachPeer{ 4 };
-/** Missed talks after which an instance counts as dead: about half a second. */
+/** Missed heartbeats after which an instance counts as dead: about half a
+ * second. */
 constexpr int kDeadAfterMissed = 10;
-/** The store's rows are asked for again after a failure in this time. */
+/** Delay before a failed write or read of the instance rows is retried. */
 constexpr Duration kRetry{ 500 };
 constexpr Duration kStoreTimeout{ 1000 };
-/** Behind a copy of the store that may lack rows of instances they are written
- * again after this time: all have heard of it by then. Who starts meanwhile
- * finds the others by the seeds, or half a second later. */
+/** Delay after a new generation of the store is seen before the rows of
+ * instances are written again, as an older copy of the store may lack some. By
+ * then all instances know of the generation. Instances that start meanwhile
+ * find the others by the seeds, or half a second later. */
 constexpr Duration kRewriteAfter{ 500 };
-/** Rows that the store takes in one transaction. */
+/** Most rows that the store accepts in one transaction. */
 constexpr std::size_t kMostRowsAtOnce = 100;
-/**
- * Longest time in which each instance tells each other; above, the instances of
- * a hall tell each other and, together, the other halls. An engine's queue of
- * 0.3 s is more than callers wait for.
- */
+/** Longest interval at which each instance still sends to every other. In a
+ * deployment so large that the interval would be longer, the instances of a
+ * data centre send to each other and, together, to the other data centres.
+ * Older loads are of no use: an engine's queue of 0.3 s is more than callers
+ * wait for. */
 constexpr Duration kMostToAll{ 300 };
-/** Most loads of one talk, ten bytes each: its datagram stays below a network's
- * packet. */
+/** Most loads in one heartbeat, at ten bytes each, so that its datagram fits
+ * into one network packet. */
 constexpr std::size_t kMostLoads = 120;
-/** Another hall's loads count no more after this time without a word: some ten
- * of its instances' words are lost, so it is cut off. */
+/** The loads of another data centre are dropped when no sum has arrived for
+ * this time: some ten messages of its instances are lost by then, so it is cut
+ * off. */
 constexpr Duration kHallLoadsFor{ 2500 };
-/** Before a hall's name, among the names of instances. */
+/** Prefix of a data centre's name where it stands among the names of instances.
+ */
 constexpr const char* kHallPrefix = "hall/";
-/** Most reads of one talk, and how often each is told: datagrams are lost now
- * and then. */
+/** Most prefills in one heartbeat, and how often prefills and role updates are
+ * announced: each is repeated because datagrams are lost now and then. */
 constexpr std::size_t kMostReads = 30;
 constexpr int kTellReadsTimes = 3;
 constexpr int kTellNewsTimes = 3;
@@ -190,7 +193,7 @@
     (hall.contains(address) ? near : far).insert(address);
   }
   Send(whole, near);
-  Send(Own(), far); // They get the loads as a sum.
+  Send(Own(), far); // Other data centres receive the loads as a sum.
 }
 
 void
@@ -411,7 +414,8 @@
   if (aHeartbeat.m_hall == m_node.m_settings.m_hall) {
     m_hallLoads.Set(aHeartbeat.m_instance, loads);
   } else if (m_countedHalls.contains(aHeartbeat.m_hall)) {
-    loads.clear(); // Its calls are in the sum of its hall.
+    // The calls of this instance are included in the sum of its data centre.
+    loads.clear();
   }
   m_node.m_fleet.SetOther(aHeartbeat.m_instance, std::move(loads));
 }
@@ -431,8 +435,8 @@
 void
 Peers::TellStoreView(membership::StoreView aView)
 {
-  // While others read on, the store is not away: it is that peer that is cut
-  // off, and what is removed from the list has not lapsed.
+  // If other instances still read the store, it is available and only that peer
+  // is cut off, so upstreams removed from the list have not expired.
   aView.m_lost = aView.m_lost && !Duty().HearsOfStore(m_node.Now());
   m_storeViews.emit(aView);
   m_generations.Note(std::max(aView.m_config, aView.m_members).m_generation,
@@ -514,13 +518,13 @@
   request.m_timeout = kStoreTimeout;
   net::HttpCallbacks callbacks;
   callbacks.m_done = [this](const net::HttpResponse& aResponse) {
-    m_generations.Note(m_generations.Of(aResponse), "the own row");
+    m_generations.Note(m_generations.Of(aResponse), "the write of the own row");
     if (m_node.m_dialect.m_readStoreCommit(aResponse) ==
         table::CommitResult::Committed) {
       ReadRows();
       return;
     }
-    // It may have been written all the same; writing it again is harmless.
+    // The row may have been written even so; writing it again is harmless.
     RetryLater([this] { WriteOwnRow(); });
   };
   m_node.m_http->Send(request, std::move(callbacks));
@@ -536,7 +540,9 @@
 Peers::WriteAllRows()
 {
   if (m_roster.Rank(m_node.m_dialect.m_instanceTable) != 0) {
-    return; // The first one of those that hear each other does.
+    // Only the first instance by rank among those that receive each other's
+    // heartbeats writes the rows.
+    return;
   }
   StoreCommit commit;
   commit.m_table = m_node.m_dialect.m_instanceTable;
@@ -567,7 +573,8 @@
   net::HttpCallbacks callbacks;
   callbacks.m_done = [this, count = aCommit.m_transaction.m_puts.size()](
                        const net::HttpResponse& aResponse) {
-    m_generations.Note(m_generations.Of(aResponse), "rows of instances");
+    m_generations.Note(m_generations.Of(aResponse),
+                       "a call for the rows of instances");
     const bool written = m_node.m_dialect.m_readStoreCommit(aResponse) ==
                          table::CommitResult::Committed;
     m_node.m_log->Write(observe::LogLevel::Info,
@@ -575,7 +582,8 @@
                         { { "count", static_cast<std::int64_t>(count) },
                           { "written", written } });
     if (!written) {
-      // All of them: writing one twice is harmless, and it is rare.
+      // Retries all rows: failures are rare and writing a row twice is
+      // harmless.
       m_rewrite = m_node.m_loop->After(kRetry, [this] { WriteAllRows(); });
     }
   };
@@ -595,8 +603,9 @@
     const bool whole = aResponse.m_end == net::HttpEnd::Complete;
     const StoreAnswer answer =
       whole ? m_node.m_dialect.m_readStoreAnswer(aResponse)
-            : StoreAnswer(relay::ReadFailed{ "no whole answer" });
-    m_generations.Note(m_generations.Of(aResponse), "rows of instances");
+            : StoreAnswer(relay::ReadFailed{ "no complete answer" });
+    m_generations.Note(m_generations.Of(aResponse),
+                       "a call for the rows of instances");
     if (const auto* page = std::get_if<StorePage>(&answer)) {
       TakeRows(*page);
     } else {
--- a/packages/entry/src/Peers.h
+++ b/packages/entry/src/Peers.h
@@ -15,93 +15,99 @@
 
 namespace ridgeferry::entry {
 
-/**
- * Talk between the instances of a deployment: each tells the others several
- * times a second what it has under way and which upstreams leave. Instances
- * find one another by rows of the store, written before they are read, and by
- * the seeds; once found, they need neither. Not thread-safe.
- */
+/** Heartbeats between the instances of a deployment: each sends the others its
+ * load and the leaving upstreams several times a second. Instances find each
+ * other by rows of the store, which each writes before it reads them, and by
+ * the seeds; once found, they need neither. Not thread-safe. */
 class Peers
 {
 public:
-  /** A followed table of the store. */
   enum class Table : std::uint8_t
   {
     Config,
     Members,
   };
 
-  /** Precondition: both outlive it. */
+  /** The arguments must outlive this object. */
   Peers(EntryNode& aNode, StoreGenerations& aGenerations);
 
   tl::expected<void, net::NetError> Start();
-  /** This instance learned that an upstream leaves: tell the others. */
+  /** Announces to the other instances that an upstream is leaving, as this
+   * instance has read in the list. */
   void NoteLeaving(const UpstreamLife& aUpstream);
-  /** It has gone from the list: there is nothing left to tell. */
+  /** Ends the announcements about an upstream that has been removed from the
+   * list. */
   void NoteGone(const std::string& aUpstream);
   void SetState(bool aReady, bool aLeaving);
-  /** What this instance knows of engines' parts ahead of the list: told at once
-   * and with each talk. */
+  /** Sets the role updates that this instance knows before the list shows them.
+   * Sends them at once and with each heartbeat. */
   void SetPartNews(std::vector<relay::PartNews> aNews);
-  /** What this instance saw lately of calls that end upstreams, and the calls
-   * that it holds: told with each talk. */
+  /** Sets the recent crashes of upstreams during calls that this instance saw,
+   * and the fingerprint of the calls that it has quarantined (std::nullopt
+   * while it has not learned them). Both are sent with each heartbeat. */
   void SetEndings(std::vector<membership::EndingDigest> aEndings,
                   std::optional<std::uint64_t> aHeldCalls);
-  /** How long news are told, so that each peer of the own hall hears them some
-   * times. */
+  /** How long an update must be announced so that each peer of the own data
+   * centre receives it several times. */
   Duration NewsFor() const;
-  /** Tells all live instances at once what this one says of itself. */
+  /** Sends a heartbeat of this instance to all live instances at once. */
   void TellAll();
-  /** IP:PORT of a live instance that holds other calls than those named;
-   * nothing: none does. */
+  /** Returns IP:PORT of a live instance whose fingerprint of quarantined calls
+   * differs from `aHeldCalls`; std::nullopt if there is none. */
   std::optional<std::string> PickHoldingOther(std::uint64_t aHeldCalls) const;
-  /** The same of one that has learned which calls are held. */
+  /** Returns IP:PORT of a live instance that has learned which calls are
+   * quarantined; std::nullopt if there is none. */
   std::optional<std::string> PickHoldingAny() const;
-  /** Place of this instance among the live ones in an order for a topic. */
+  /** Returns the rank of this instance among the live ones, in an order that
+   * depends on the topic. */
   std::size_t Rank(std::string_view aTopic) const
   {
     return m_roster.Rank(aTopic);
   }
 
-  /** How far this instance has read the store, for the others. */
+  /** Sets the store positions that heartbeats of this instance report. */
   void SetStoreView(const membership::StoreView& aView) { m_storeView = aView; }
-  /**
-   * Whether this instance is one of the few of its hall that keep an eye on
-   * the store; always so if it hears of none whose reads succeed.
-   */
+  /** Returns true if this instance is one of the few of its data centre that
+   * poll the store. Always true if it receives no heartbeat from an instance
+   * whose reads succeed. */
   bool IsOnDuty() const;
-  /** The same by its place alone. */
+  /** Returns true if this instance polls the store by its place in the order of
+   * pollers alone, whatever the others report. */
   bool IsOnDutyByPlace() const;
-  /** See `membership::StoreDuty::ReadsSince`. */
+  /** See `membership::StorePollers::ReadsSince`. */
   std::optional<Instant> HallReadsSince(std::string_view aHall,
                                         StoreGeneration aGeneration) const;
-  /** Halls of which some instance was heard. */
+  /** Returns the data centres from which heartbeats were received. */
   std::set<std::string> Halls() const;
-  /** Tells the live instances of this hall at once what this one says of
-   * itself. */
+  /** Sends a heartbeat of this instance to the live instances of its data
+   * centre at once. */
   void TellHall();
-  /** IP:PORT of an instance that has read changes of a table after a position:
-   * one of this hall, if there is any. Before any was heard, one of those that
-   * the store lists. */
+  /** Returns IP:PORT of an instance that has read changes of a table after a
+   * position, preferably one of this data centre. Before any heartbeat has been
+   * received from such an instance, returns one that the store lists if nothing
+   * has been read yet; otherwise std::nullopt. */
   std::optional<std::string> PickAhead(Table aTable,
                                        StorePosition aAfter) const;
-  /** The store's rows of instances were read. */
+  /** Returns true once the rows of instances have been read from the store. */
   bool HasListed() const { return m_hasListed; }
-  /** The same, when it happens; whether there are others. */
+  /** Emitted when the rows of instances have been read; the argument is true if
+   * they list other instances. */
   sigc::signal<void(bool)>& SignalListed() { return m_listed; }
 
-  /** How far another instance has read the store; lost: for all that is heard,
-   * the store is away. */
+  /** Emitted with the store positions that another instance reports. `m_lost`
+   * is set only if no instance is known to read the store. */
   sigc::signal<void(const membership::StoreView&)>& SignalStoreView()
   {
     return m_storeViews;
   }
-  /** Another instance has seen upstreams end under calls. */
+  /** Emitted when another instance reports crashes of upstreams during calls.
+   */
   sigc::signal<void(std::span<const membership::EndingDigest>)>& SignalEndings()
   {
     return m_endingsTold;
   }
-  /** Another instance says that an upstream leaves. */
+  /** Emitted when another instance announces that a listed upstream is leaving.
+   */
   sigc::signal<void(const UpstreamLife&)>& SignalLeaving() { return m_leaves; }
 
 private:
@@ -109,11 +115,12 @@
   void TellStoreView(membership::StoreView aView);
   void Handle(const membership::RosterEvent& aEvent);
   void OnDatagram(std::string_view aBytes);
-  /** Of the live instances of which `aIs` holds, one that is drawn. */
+  /** Returns IP:PORT of a random live instance for which `aIs` returns true;
+   * std::nullopt if there is none. */
   std::optional<std::string> PickPeer(
     const std::function<bool(const membership::Heartbeat&)>& aIs) const;
   void SendTo(const std::set<std::string>& aAddresses);
-  /** What this instance says of itself, without loads. */
+  /** Builds the heartbeat of this instance without loads. */
   membership::Heartbeat Own() const;
   membership::Heartbeat WithLoads(
     std::span<const relay::OtherLoad> aLoads) const;
@@ -126,13 +133,14 @@
   void WriteOwnRow();
   void ReadRows();
   void TakeRows(const StorePage& aPage);
-  /** Another instance says so. */
+  /** Handles another instance's announcement that an upstream is leaving. */
   void TakeLeaving(const UpstreamLife& aUpstream);
   void RetryLater(sigc::slot<void()> aWhat);
   void NoteGeneration();
 
-  /** The rows of all instances that are heard, where one suffices to write
-   * them: behind a copy of the store that lacks some. */
+  /** Writes the rows of all live instances again after the store came back from
+   * an older copy that may lack some. One instance suffices, so only the first
+   * by rank writes. */
   void WriteAllRows();
   void WriteRows(const StoreCommit& aCommit);
 
@@ -148,8 +156,10 @@
   std::vector<membership::EndingDigest> m_endings;
   std::optional<std::uint64_t> m_heldCalls;
   std::set<std::string> m_counted; ///< Instances whose loads are counted.
-  relay::HallLoads m_hallLoads;    ///< Of this hall.
-  /** Other halls whose sums are counted, and when they came last. */
+  /** Loads of the instances of this data centre. */
+  relay::HallLoads m_hallLoads;
+  /** Other data centres whose summed loads are counted, and when the last sum
+   * arrived. */
   std::map<std::string, Instant> m_countedHalls;
   std::unique_ptr<net::UdpSocket> m_socket;
   net::Watch m_tick;
--- a/packages/entry/src/StoreGenerations.cpp
+++ b/packages/entry/src/StoreGenerations.cpp
@@ -6,10 +6,11 @@
 
 namespace {
 
-/** A store that tells no number does so in each answer: a line a minute says
- * enough, and the counter has the rest. */
+/** Shortest interval between two log lines about an unreadable generation. Such
+ * a store sends one in each answer; one line a minute is enough, and the
+ * counter has the rest. */
 constexpr Duration kTellUnreadableEvery{ 60'000 };
-/** Of what was told in place of a number, so much is logged. */
+/** Most bytes of an unreadable generation that are logged. */
 constexpr std::size_t kMostLogged = 40;
 
 } // namespace
--- a/packages/entry/src/StoreGenerations.h
+++ b/packages/entry/src/StoreGenerations.h
@@ -8,26 +8,22 @@
 
 namespace ridgeferry::entry {
 
-/**
- * Which generation the store is in, by all that this process hears: answers of
- * the store to whatever call, and words of peers. Not thread-safe.
- */
+/** Tracks the latest generation of the store that this process has seen, in
+ * answers of the store to any call or in messages of peers. Not thread-safe. */
 class StoreGenerations
 {
 public:
-  /** Precondition: it outlives this. */
+  /** `aNode` must outlive this object. */
   explicit StoreGenerations(EntryNode& aNode);
 
-  /**
-   * Generation that an answer of the store belongs to: the one that it tells,
-   * else the latest that was seen. Does not note it: who takes the answer does
-   * so first.
-   */
+  /** Returns the generation that an answer of the store belongs to: the one it
+   * names, otherwise the latest that was seen. Does not note it: the caller
+   * handles the answer first and calls `Note` afterwards. */
   StoreGeneration Of(const net::HttpResponse& aAnswer);
-  /** It was seen; `aFrom`: where, for the log. */
+  /** Notes that a generation was seen. `aFrom` says where, for the log. */
   void Note(StoreGeneration aGeneration, std::string_view aFrom);
   StoreGeneration Latest() const { return m_latest; }
-  /** A later generation than any before is seen. */
+  /** Emitted when a generation later than all before is seen. */
   sigc::signal<void(StoreGeneration)>& SignalRisen() { return m_risen; }
 
 private:
--- a/packages/entry/src/StoreReader.cpp
+++ b/packages/entry/src/StoreReader.cpp
@@ -7,8 +7,9 @@
 
 namespace {
 
-/** An unfinished whole read is gone on with for so long: below the history that
- * stores keep, 20 s, so that what changed meanwhile can still be read. */
+/** How long an interrupted read of a whole table may be continued. It is
+ * shorter than the history that stores keep, 20 s, so that the changes since
+ * the first page can still be read. */
 constexpr Duration kLongestPaging{ 10'000 };
 
 } // namespace
@@ -72,7 +73,7 @@
 void
 StoreReader::ReadNextPage()
 {
-  // The smallest key above the last one read.
+  // The next page starts at the smallest key above the last one read.
   ReadPage(m_pages.back().m_key + '\0');
 }
 
@@ -118,7 +119,7 @@
   if (aView.m_lost) {
     Handle(relay::PeerLostStore{});
   }
-  // Steady reads of a generation that has ended say nothing of the present one.
+  // Steady reads of an earlier generation say nothing about the present one.
   const bool isCurrent =
     aView.m_members.m_generation >= m_follower.Generation();
   if (aView.m_steady && isCurrent) {
@@ -175,7 +176,8 @@
   m_distrustsKept = aResponse.m_end != net::HttpEnd::Complete;
   if (m_distrustsKept) {
     const bool unsent = aResponse.m_end == net::HttpEnd::NotSent;
-    Handle(relay::ReadFailed{ unsent ? "no connection" : "no whole answer" });
+    Handle(
+      relay::ReadFailed{ unsent ? "no connection" : "no complete answer" });
     return;
   }
   const StoreGeneration generation = m_generations.Of(aResponse);
@@ -201,10 +203,12 @@
     return;
   }
   if (aRead.m_fromKey.empty()) {
-    // Later pages are newer; what changed since the first is read again.
+    // The position of the first page counts: later pages may be newer, and the
+    // changes since the first page are read again.
     m_pagesPosition = position;
   } else if (aGeneration != m_pagesPosition.m_generation) {
-    // The pages before are of another history: from the first one again.
+    // The earlier pages belong to another generation, so the read starts again
+    // at the first page.
     m_pages.clear();
     ReadPage({});
     return;
--- a/packages/entry/src/StoreReader.h
+++ b/packages/entry/src/StoreReader.h
@@ -10,15 +10,13 @@
 
 namespace ridgeferry::entry {
 
-/**
- * Carries out what a `TableFollower` decides for one table of the store.
- * Not thread-safe.
- */
+/** Executes the actions of a `TableFollower` for one table of the store. Not
+ * thread-safe. */
 class StoreReader
 {
 public:
-  /** `aKeeps`: see `relay::FollowedTable`. Precondition: `aGenerations` and
-   * `aPeers` outlive it. */
+  /** For `aKeeps` see `relay::FollowedTable`. `aNode`, `aGenerations` and
+   * `aPeers` must outlive this object. */
   StoreReader(EntryNode& aNode,
               StoreGenerations& aGenerations,
               PeerRows& aPeers,
@@ -29,12 +27,13 @@
   void Start();
   bool HasRead() const { return m_follower.HasRead(); }
   const relay::TableFollower& Follower() const { return m_follower; }
-  /** What another instance says of its reads; `aPosition`: up to where it has
-   * read this table. */
+  /** Handles what another instance reports of its store reads. `aPosition` is
+   * the position up to which it has read this table. */
   void NotePeer(StorePosition aPosition, const membership::StoreView& aView);
-  /** See `relay::DutyChanged`. */
+  /** See `relay::PollingChanged`. */
   void SetDuty(bool aOnDuty, bool aByPlace);
-  /** Other instances are known by now, or that there are none. */
+  /** Notes that the list of instances has been read; `aAny` is true if it names
+   * others. */
   void NotePeersListed(bool aAny);
   sigc::signal<void(const relay::ApplyRows&)>& SignalRows() { return m_rows; }
 
@@ -49,7 +48,7 @@
   void Do(const relay::AnswerIsOld& aAction);
   void Do(const relay::StoreLost& aAction);
   void Do(const relay::StoreBack& aAction);
-  /** Some time up to the given one, drawn anew each time. */
+  /** Returns a random time between 0 and `aMost`. */
   Duration Draw(Duration aMost);
   void Send(const StoreRead& aRead, Duration aPatience);
   void ReadPage(std::string aFromKey);
@@ -66,18 +65,18 @@
   PeerRows::Table m_kind;
   std::string m_table;
   relay::TableFollower m_follower;
-  /** Pages of a whole read that goes on; after a failure it is gone on with
+  /** Rows of the whole-table read under way. After a failure the read continues
    * where it stopped. */
   std::vector<relay::FollowedRow> m_pages;
   Instant m_pagesSince;
-  StorePosition m_pagesPosition; ///< Of the first of them.
-  Duration m_pagePatience{};     ///< For each page of it.
-  net::HttpCallId m_call = 0;    ///< The read under way.
-  /** The last read got no answer: connections kept from before may have fallen
-   * silent too. */
+  StorePosition m_pagesPosition; ///< Store position of the first page.
+  Duration m_pagePatience{};     ///< Time-out for each page.
+  net::HttpCallId m_call = 0;    ///< Id of the HTTP call that reads the store.
+  /** True if the last read got no answer: other idle connections may be
+   * unresponsive too, so the next read uses a fresh one. */
   bool m_distrustsKept = false;
   net::Watch m_retry;
-  net::Watch m_ask; ///< Until a peer is asked.
+  net::Watch m_ask; ///< Timer until a peer is asked.
   sigc::signal<void(const relay::ApplyRows&)> m_rows;
 };
 
--- a/packages/entry/tests/EntrySettingsTest.cpp
+++ b/packages/entry/tests/EntrySettingsTest.cpp
@@ -44,8 +44,9 @@
 struct BadSettingsCase
 {
   const char* m_name;
-  const char* m_pointer; ///< Of what is changed and of the fault.
-  const char* m_value;   ///< JSON put there.
+  /** JSON pointer of the changed field, at which the fault must be reported. */
+  const char* m_pointer;
+  const char* m_value; ///< JSON text of the field's new value.
 };
 
 class BadEntrySettingsTest : public ::testing::TestWithParam<BadSettingsCase>
