--- a/packages/entry/src/OwnAnswer.h
+++ b/packages/entry/src/OwnAnswer.h
@@ -6,16 +6,17 @@
 
 namespace ridgeferry::entry {
 
-/** An answer that comes from this instance and not from an upstream. */
+/** An error answer that this instance generates itself, without an upstream. */
 struct OwnAnswer
 {
   int m_status = 0;
-  std::string_view m_code;    ///< Stable word for programs; also logged.
+  std::string_view m_code;    ///< Stable error code for programs; also logged.
   std::string_view m_outcome; ///< Whether the call may have run.
-  Duration m_retryAfter{};    ///< When to come back; 0: not said.
+  Duration m_retryAfter{};    ///< For Retry-After; 0 omits the header.
 };
 
-/** Precondition: nothing of an answer was sent yet. Not thread-safe. */
+/** Sends the answer as an `application/problem+json` body. Precondition: no
+ * part of an answer has been sent yet. Not thread-safe. */
 void
 SendOwnAnswer(net::HttpExchange& aExchange, const OwnAnswer& aAnswer);
 
--- a/packages/entry/src/PassableHeaders.cpp
+++ b/packages/entry/src/PassableHeaders.cpp
@@ -7,6 +7,8 @@
 
 namespace {
 
+/** Header fields that concern one connection only (hop-by-hop), or that delimit
+ * the body, which each connection does in its own way. */
 constexpr std::array<std::string_view, 11> kOfOneConnection = {
   "Connection",
   "Keep-Alive",
@@ -21,7 +23,8 @@
   "Expect",
 };
 
-/** Whether a Connection header names the field as its own. */
+/** Returns whether `aList`, the comma-separated value of a Connection header,
+ * contains the field name `aName`. */
 bool
 IsNamed(std::string_view aList, std::string_view aName)
 {
--- a/packages/entry/src/PromptOutcome.cpp
+++ b/packages/entry/src/PromptOutcome.cpp
@@ -6,9 +6,10 @@
 
 namespace {
 
+/** A range of prompt sizes that metrics count together. */
 struct SizeBand
 {
-  std::int64_t m_below; ///< Tokens.
+  std::int64_t m_below; ///< Exclusive upper bound, in tokens.
   std::string_view m_name;
 };
 
--- a/packages/entry/src/PromptOutcome.h
+++ b/packages/entry/src/PromptOutcome.h
@@ -5,20 +5,24 @@
 
 namespace ridgeferry::entry {
 
-/** What became of a call with a prompt, as its caller sees it. */
+/** How a call with a prompt ended from its caller's point of view. */
 enum class PromptOutcome : std::uint8_t
 {
-  InAim, ///< Whole, its first event in time and none too long after another.
-  Late,  ///< Whole all the same.
-  Refused,
-  Failed,
+  /** The answer was complete, its first byte met the target of the route, and
+   * no pause within the stream was too long. */
+  InAim,
+  Late,    ///< The answer was complete, but missed one of these bounds.
+  Refused, ///< The instance refused the call, which did not run.
+  Failed,  ///< The caller got no complete answer for another reason.
 };
 
+/** Returns the metric label of the outcome. */
 std::string_view
 NameOf(PromptOutcome aOutcome);
 
-/** The band of a prompt's size that it is counted in, for a metric's label:
- * each begins at twice the tokens of the one before. Nine bands. */
+/** Returns the metric label of the size band that contains `aTokens`. There are
+ * nine bands. The first ends at 512 tokens, and each further band begins at
+ * twice the tokens of the band before it. */
 std::string_view
 SizeBandOf(std::int64_t aTokens);
 
--- a/packages/entry/src/QuarantineService.cpp
+++ b/packages/entry/src/QuarantineService.cpp
@@ -9,18 +9,21 @@
 namespace {
 
 constexpr Duration kTick{ 100 };
-/** A gap between two ticks above which this process stood still: connections
- * that broke meanwhile tell nothing of their upstreams. */
+/** A gap between two ticks from which on this process counts as having been
+ * suspended. Connections that broke meanwhile may have timed out, and are no
+ * evidence of a crash of their upstreams. */
 constexpr Duration kStoodStill{ 1000 };
-/** A run that tries a doubted call has shown what it is by then. */
+/** Least time between two trial runs of a call whose quarantine is doubted.
+ * Within this time a trial run has either succeeded or crashed its upstream. */
 constexpr Duration kTryEvery{ 10'000 };
-/** An upstream's machine answers within milliseconds. */
+/** Time-out of a connection probe. The machine of an upstream normally answers
+ * within milliseconds, whether the upstream runs or not. */
 constexpr Duration kProbeTimeout{ 300 };
-/** A broken send is probed again in this time if the first probe met nothing.
- */
+/** Time from the start of a probe that got no answer to the next probe of the
+ * same upstream. */
 constexpr Duration kProbeAgain{ 500 };
-/** Longest time at a start in which no calls are taken as it is not known which
- * ones the others hold. */
+/** Longest time after the start for which this instance accepts no calls
+ * because it has not yet learned which calls its peers have quarantined. */
 constexpr Duration kLongestAsk{ 2000 };
 
 std::string_view
@@ -89,8 +92,8 @@
   if (m_quarantine.IsHeld(aCall)) {
     return m_quarantine.HeldFor(aCall, m_node.Now());
   }
-  // Ends that are not sure yet count until they are: the next run could be one
-  // more.
+  // Broken runs count as crashes until it is known whether the upstream
+  // crashed: the next run of the call could crash a further upstream.
   const std::size_t ends =
     m_quarantine.Ends(aCall) + m_broken.Unresolved(aCall);
   if (ends >= quarantine::Quarantine::kEndsToHold) {
@@ -161,7 +164,8 @@
     *address,
     kProbeTimeout,
     [this, upstream = aMember.m_id](net::Reach aReach) {
-      // Later: the probe is still on the stack.
+      // Deferred, since handling the result destroys the probe, whose functions
+      // are still on the stack.
       m_node.m_loop->Defer(
         [this, upstream, aReach] { TakeReach(upstream, aReach); });
     });
@@ -177,12 +181,12 @@
   const UpstreamLife upstream = found->second.m_upstream;
   const Instant began = found->second.m_began;
   if (aReach == net::Reach::Unknown) {
-    found->second.m_probe.reset(); // `Tick` probes it again.
+    found->second.m_probe.reset(); // `Tick` probes the upstream again.
     return;
   }
   m_probes.erase(found);
   if (aReach == net::Reach::Refused) {
-    NoteEnded(upstream, "nobody listens");
+    NoteEnded(upstream, "connection refused");
   } else {
     m_broken.NoteAlive(aUpstream, began);
   }
@@ -193,7 +197,7 @@
 {
   const relay::Member* member = m_node.m_fleet.Find(aUpstream);
   if (member != nullptr && !m_broken.IsEmpty()) {
-    NoteEnded(member->Life(), "nobody listens");
+    NoteEnded(member->Life(), "connection refused");
   }
 }
 
@@ -206,14 +210,14 @@
 void
 QuarantineService::NoteGone(const UpstreamLife& aUpstream)
 {
-  NoteEnded(aUpstream, "not listed");
+  NoteEnded(aUpstream, "no longer listed");
 }
 
 void
 QuarantineService::NoteLaterLife(const std::string& aUpstream)
 {
   for (const UpstreamLife& life : m_broken.LivesOf(aUpstream)) {
-    NoteEnded(life, "a later life");
+    NoteEnded(life, "later incarnation listed");
   }
 }
 
@@ -276,7 +280,10 @@
   if (change == quarantine::Change::Suspected &&
       aFrom == QuarantineShare::kFromPeer &&
       m_quarantine.Ends(aEnding.m_call) < quarantine::Quarantine::kEndsToCare) {
-    return; // Logged by who saw it: all that an upstream ran is told.
+    // The peer that observed the crash has logged it. All calls that ran on the
+    // upstream are reported, so logging them at each instance would be too
+    // much.
+    return;
   }
   m_node.m_log->Write(
     held ? observe::LogLevel::Warning : observe::LogLevel::Info,
--- a/packages/entry/src/QuarantineService.h
+++ b/packages/entry/src/QuarantineService.h
@@ -12,69 +12,89 @@
 namespace ridgeferry::entry {
 
 /**
- * Keeps calls that end their upstreams from ending more: finds out which
- * upstreams ended under which calls, and decides with what the others tell.
- * With the mechanism switched off nothing is ever held. Not thread-safe.
+ * Prevents calls that crash their upstreams from crashing more of them. Finds
+ * out which upstreams crashed during which calls, and decides from that and
+ * from the reports of peers which calls are quarantined, that is, sent to no
+ * upstream. If the settings switch the quarantine off, no call is ever
+ * quarantined. Not thread-safe.
  */
 class QuarantineService
 {
 public:
-  /** Precondition: all outlive it. */
+  /** Precondition: all arguments outlive this object. */
   QuarantineService(EntryNode& aNode,
                     StoreGenerations& aGenerations,
                     Peers& aPeers,
                     PeerRows& aPeerRows);
 
   void Start();
-  /** It knows what the others hold, or has asked for long enough. */
+  /** Returns whether this instance may accept calls: it has learned which calls
+   * are quarantined, or 2 s have passed since the start without an answer. Also
+   * true if the quarantine is switched off. */
   bool HasAsked() const;
 
-  /** Whether there is any call that it matters to recognise. */
+  /** Returns whether any call is suspected or quarantined, or has a broken run.
+   * Otherwise callers need not compute digests of calls. */
   bool KnowsAny() const;
-  /** For how long the call is given to no upstream; nothing: it may run. */
+  /** Returns how long the call stays quarantined, or std::nullopt if it may
+   * run. */
   std::optional<Duration> HeldFor(const quarantine::CallDigest& aCall) const;
-  /** Whether a call that is held is to run all the same, to show whether that
-   * is right; it counts as run from then on. */
+  /** Returns whether a quarantined call is to run all the same, as a trial that
+   * shows whether its quarantine is justified. If so, the trial run counts as
+   * started. */
   bool MayTry(const quarantine::CallDigest& aCall);
-  /** Whether it may be sent again within one try of its caller. */
+  /** Returns whether the call may be sent to a further upstream without a new
+   * request of its caller. Calls with two or more suspected crashes may not. */
   bool MayRepeat(const quarantine::CallDigest& aCall) const;
 
-  /** What an upstream was doing for a call. */
+  /** A send of a call to an upstream. The references must outlive the use. */
   struct Send
   {
     const quarantine::CallDigest& m_call;
     const std::string& m_upstream;
     const std::string& m_requestId; ///< For the log.
   };
-  /** The connection of a send broke before the answer was whole. */
+  /** The connection of the send broke before the answer was complete. Probes
+   * whether the upstream has crashed. */
   void NoteBroken(const Send& aSend);
-  /** The call ended well there. */
+  /** The upstream served the call completely, which clears the call of all
+   * suspicion. */
   void NoteServed(const Send& aSend);
-  /** Nobody listens at its address. */
+  /** The upstream's address refused a connection, so the upstream is down. */
   void NoteRefused(const std::string& aUpstream);
-  /** It answered what was begun at `aSince`. */
+  /** The upstream answered a request that was sent at `aSince`. Runs on it that
+   * broke before then did not crash it. */
   void NoteAnswered(const std::string& aUpstream, Instant aSince);
-  /** It has gone from the list. */
+  /** The upstream was removed from the list. */
   void NoteGone(const UpstreamLife& aUpstream);
-  /** The list has a later life of it than the one that was held. */
+  /** The list has a later incarnation of the upstream, so all earlier ones have
+   * ended. */
   void NoteLaterLife(const std::string& aUpstream);
 
+  /** Returns the number of quarantined calls. */
   std::size_t Held() const { return m_quarantine.Held(); }
+  /** Returns the number of calls that are suspected and not quarantined. */
   std::size_t Suspected() const { return m_quarantine.Suspected(); }
 
 private:
+  /** A connection attempt that tests whether an upstream is still up. */
   struct ProbeOf
   {
     UpstreamLife m_upstream;
     Instant m_began;
+    /** Null after a probe without an answer, until the next one. */
     std::unique_ptr<net::ConnectProbe> m_probe;
   };
 
   void Tick();
   void Probe(const relay::Member& aMember);
   void TakeReach(const std::string& aUpstream, net::Reach aReach);
+  /** Records the crash of this incarnation for all calls with a broken run on
+   * it, and reports these crash records to the peers. `aFrom` names the
+   * evidence in the log. */
   void NoteEnded(const UpstreamLife& aUpstream, std::string_view aFrom);
-  /** Takes one ending and logs what it changes. */
+  /** Adds one crash record, seen first `aAge` ago, to the quarantine, and logs
+   * the change. `aFrom` names its source in the log. */
   void Take(const quarantine::Ending& aEnding,
             Duration aAge,
             std::string_view aFrom);
@@ -84,6 +104,7 @@
   quarantine::Quarantine m_quarantine;
   quarantine::BrokenRuns m_broken;
   QuarantineShare m_share;
+  /** Start of the last trial run of each quarantined call. */
   std::map<quarantine::CallDigest, Instant> m_triedAt;
   std::map<std::string, ProbeOf> m_probes; ///< By upstream.
   Instant m_began;
--- a/packages/entry/src/QuarantineShare.cpp
+++ b/packages/entry/src/QuarantineShare.cpp
@@ -8,21 +8,26 @@
 
 namespace {
 
+/** Topic under which the live instances are ranked for this work. */
 constexpr const char* kTopic = "quarantine";
-/** The only row of its table, and its name where peers ask each other. */
+/** Key of the only row in the quarantine table of the store. Peers request the
+ * same data from each other under this name. */
 constexpr const char* kKey = "endings";
-/** An instance that starts waits so long for a peer that knows, before it reads
- * the store; each further one in the order of the topic so much longer. */
+/** A starting instance waits this long for a peer that knows the quarantined
+ * calls before it reads the store. Each further instance in the ranking of the
+ * topic waits this much longer, up to `kMostTurns` times, so that instances
+ * that start together do not all read the store. */
 constexpr Duration kAskPeersFor{ 300 };
 constexpr std::size_t kMostTurns = 5;
 constexpr Duration kStoreTimeout{ 1000 };
 constexpr Duration kStoreAgain{ 500 };
-/** Most news of one talk, 30 bytes each: those of a few upstreams. */
+/** Most crash records in one heartbeat, about 30 bytes each. They suffice for
+ * the crashes of a few upstreams. */
 constexpr std::size_t kMostNews = 20;
-/** Most endings that are written, 110 bytes each: the row stays below the
- * store's bound. */
+/** Most crash records that are written to the store, about 110 bytes each. The
+ * bound keeps the row below the size limit of the store. */
 constexpr std::size_t kMostWritten = 400;
-/** The same for a peer that asks. */
+/** Most crash records in the answer to a peer that requests them. */
 constexpr std::size_t kMostToPeer = 1000;
 
 membership::EndingDigest
@@ -87,7 +92,8 @@
 void
 QuarantineShare::Tell(std::vector<quarantine::Ending> aEndings)
 {
-  // Those that tell most come first: a talk has room for some of them.
+  // Calls with the most crashes come first, as a heartbeat has room for
+  // `kMostNews` records only.
   std::stable_sort(aEndings.begin(),
                    aEndings.end(),
                    [this](const auto& aLeft, const auto& aRight) {
@@ -195,7 +201,7 @@
         return;
       }
       for (const relay::FollowedRow& row : aSlice->m_rows) {
-        TakeText(row.m_value, "a peer's whole");
+        TakeText(row.m_value, "a peer's full list");
       }
       NoteKnown(kFromPeer);
     });
@@ -235,8 +241,9 @@
     m_generations.Note(m_generations.Of(aResponse), "the quarantine");
     const bool whole = aResponse.m_end == net::HttpEnd::Complete;
     const StoreAnswer answer =
-      whole ? m_node.m_dialect.m_readStoreAnswer(aResponse)
-            : StoreAnswer(relay::ReadFailed{ "no whole answer" });
+      whole
+        ? m_node.m_dialect.m_readStoreAnswer(aResponse)
+        : StoreAnswer(relay::ReadFailed{ "the store's answer is incomplete" });
     const auto* page = std::get_if<StorePage>(&answer);
     if (page == nullptr) {
       m_node.m_metrics.Count("quarantine_reads_failed_total");
@@ -256,7 +263,8 @@
 QuarantineShare::WriteStore()
 {
   const std::uint64_t held = m_quarantine.Fingerprint();
-  // One instance writes for all; where it ends first, the next in order does.
+  // The instance of the first rank writes for all instances. If it dies first,
+  // the next one in the ranking writes.
   if (!m_known || m_writing || held == m_written ||
       m_node.Now() < m_storeAgainAt || m_node.m_stop.HasBegun() ||
       m_peers.Rank(kTopic) != 0) {
--- a/packages/entry/src/QuarantineShare.h
+++ b/packages/entry/src/QuarantineShare.h
@@ -12,22 +12,23 @@
 namespace ridgeferry::entry {
 
 /**
- * Makes all instances hold the same calls: tells the others what this one has
- * seen, asks those that hold other calls, and keeps what is held in the store
- * for a time when no instance is left to ask. Not thread-safe.
+ * Makes all instances quarantine the same calls. Announces the crash records of
+ * this instance to its peers, requests those of peers whose quarantined calls
+ * differ, and saves the records in the store for a time when no peer is left to
+ * ask. Not thread-safe.
  */
 class QuarantineShare
 {
 public:
-  /** Who told an ending that came by a talk. */
+  /** The source that is named for a crash record received with a heartbeat. */
   static constexpr std::string_view kFromPeer = "a peer";
 
-  /** Takes what another instance, or the store, tells; how old it is, and who
-   * told it. */
+  /** Receives a crash record from a peer or the store, its greatest possible
+   * age, and the source for the log. */
   using Take =
     sigc::slot<void(const quarantine::Ending&, Duration, std::string_view)>;
 
-  /** Precondition: all outlive it. */
+  /** Precondition: all arguments outlive this object. */
   QuarantineShare(EntryNode& aNode,
                   StoreGenerations& aGenerations,
                   Peers& aPeers,
@@ -36,30 +37,40 @@
                   Take aTake);
 
   void Start();
-  /** What the others hold is known. */
+  /** Returns whether this instance has received the quarantined calls from a
+   * peer or the store. */
   bool IsKnown() const { return m_known; }
-  /** This instance has seen these. */
+  /** Announces crash records, or clearings, that this instance has observed to
+   * all live peers at once, and with the next heartbeats. */
   void Tell(std::vector<quarantine::Ending> aEndings);
-  /** To be called several times a second. */
+  /** Must be called several times a second. */
   void Tick();
 
 private:
+  /** A crash record of this instance that is still announced. */
   struct News
   {
     Instant m_at;
     quarantine::Ending m_ending;
   };
 
+  /** Sets the records that the heartbeats contain, without those that have been
+   * announced for long enough. */
   void TellNews();
   void TakeTold(std::span<const membership::EndingDigest> aEndings);
   void TakeText(const std::string& aText, std::string_view aFrom);
   void NoteKnown(std::string_view aFrom);
+  /** Requests the records of a peer whose quarantined calls differ, or reads
+   * the store if this instance knows nothing and no peer does. */
   void AskPeers();
   void AskPeer(const std::string& aAddress);
   void ReadStore();
+  /** Writes the records to the store if they have changed and this instance is
+   * the first in the ranking. */
   void WriteStore();
-  /** What is known, as JSON. */
+  /** Returns at most `aMost` crash records as JSON. */
   std::string Text(std::size_t aMost) const;
+  /** Returns the answer to a peer that requests the records. */
   relay::TableSlice Slice() const;
 
   EntryNode& m_node;
@@ -68,16 +79,21 @@
   PeerRows& m_peerRows;
   const quarantine::Quarantine& m_quarantine;
   Take m_take;
-  std::deque<News> m_news; ///< Of this instance.
+  std::deque<News> m_news; ///< Records of this instance, the oldest first.
   bool m_known = false;
-  bool m_listed = false; ///< Other instances, or that there is none.
-  bool m_hasOthers = false;
-  bool m_asking = false; ///< A peer, or the store.
+  /** The list of instances is known, and with it whether there are peers. */
+  bool m_listed = false;
+  bool m_hasOthers = false; ///< The list contains other instances.
+  bool m_asking = false;    ///< A read of a peer or of the store is under way.
   bool m_writing = false;
-  std::uint64_t m_written = 0; ///< Fingerprint of what the store has.
-  /** Of a peer, at the last tick: one that has just changed may be about to. */
+  /** Fingerprint of the quarantined calls that the store has. */
+  std::uint64_t m_written = 0;
+  /** At the last tick a peer had other quarantined calls. A peer is asked only
+   * if that lasts for two ticks, as a difference that has just arisen often
+   * disappears with the next heartbeat. */
   bool m_differed = false;
-  Instant m_storeAgainAt; ///< Behind a call of the store that failed.
+  /** After a failed request to the store: when the next one may be sent. */
+  Instant m_storeAgainAt;
   Instant m_began;
 };
 
--- a/packages/entry/src/Relay.cpp
+++ b/packages/entry/src/Relay.cpp
@@ -11,17 +11,22 @@
 
 constexpr int kNotFound = 404;
 constexpr int kUnavailable = 503;
-/** An instance that starts knows its routes in well under that; one that stops
- * is no longer sent new connections. */
+/** Retry-After of the 503 answers that this instance gives while it starts or
+ * stops. A starting instance has its routes in well under 250 ms, and callers
+ * open no new connections to a stopping one. */
 constexpr Duration kOtherRetryAfter{ 250 };
-/** Half of what the operators allow: instances count their own windows, and
- * the operators' count may begin anywhere between them. */
+/** Share of the operators' retry limits that the instances use. Each instance
+ * counts its own time windows, and the operators' window may begin anywhere
+ * between two of them, so that it can cover repeats of two windows. */
 constexpr double kBudgetShare = 0.5;
-/** Most repeats of one instance besides its share by its own sends: one that
- * has just started does not know yet how many share the floor. */
+/** Upper bound of one instance's share of the retry floor (the repeats that are
+ * allowed besides the ratio to first sends). An instance that has just started
+ * does not know yet how many instances share the floor. */
 constexpr double kMostFloor = 2;
-/** Callers of a route wait equally long, so one with less time has been here
- * before; less than this is the way and the clocks. */
+/** Smallest difference between two deadlines of a route that counts as time
+ * spent in an earlier attempt. All callers of a route have the same time limit,
+ * so a call that arrives with less time has been sent before. Differences below
+ * 50 ms come from the network and the clocks. */
 constexpr Duration kLeastLost{ 50 };
 
 } // namespace
@@ -59,7 +64,8 @@
   out.m_headTimeout = limits.m_headTimeout;
   out.m_idleTimeout = limits.m_idleTimeout;
   m_server->SetLimits(out);
-  m_deadlines.clear(); // Callers of a changed route may wait differently.
+  // Callers of a changed route may have another time limit.
+  m_deadlines.clear();
   ForgetOldRoutes();
 }
 
@@ -121,7 +127,8 @@
 Relay::ConnectionsOf(const std::string& aService) const
 {
   const relay::Service* service = m_node.m_routes->FindService(aService);
-  // One that is routed to and not described: one connection an instance.
+  // A route may name a service that the configuration does not describe. Each
+  // instance then opens one connection to each upstream of the service.
   const std::int64_t most = service == nullptr ? 1 : service->m_maxConnections;
   return relay::ShareConnections(most, m_node.m_instances);
 }
@@ -177,7 +184,7 @@
   RelayCall& started = *call;
   m_calls.emplace(id, std::move(call));
   started.SignalDone().connect([this, id] {
-    // Later: the call is still on the stack.
+    // Deferred, since functions of the call are still on the stack.
     m_node.m_loop->Defer([this, id] { Remove(id); });
   });
   started.Begin();
--- a/packages/entry/src/Relay.h
+++ b/packages/entry/src/Relay.h
@@ -11,22 +11,28 @@
 
 namespace ridgeferry::entry {
 
-/** The callers' side: each request becomes a call. Not thread-safe. */
+/**
+ * Accepts requests of callers and starts one `RelayCall` for each. A request
+ * that matches no route, or arrives while the instance cannot take calls, gets
+ * an error answer. Not thread-safe.
+ */
 class Relay
 {
 public:
-  /** Precondition: both outlive it. */
+  /** Precondition: both arguments outlive this object. */
   Relay(EntryNode& aNode, QuarantineService& aQuarantine);
 
   tl::expected<void, net::NetError> Start();
-  /** Takes the callers' limits of the configuration in force. */
+  /** Applies the limits on callers' requests from the present configuration,
+   * and forgets what was learned of routes that it no longer declares. */
   void UseLimits();
-  /** From now on each answer closes its connection. */
+  /** From now on, every answer closes its connection. */
   void BeginStop();
-  /** Closes connections that rest between two requests. */
+  /** Closes connections that are idle between two requests. */
   void CloseResting();
+  /** Returns the number of calls under way. */
   std::size_t Running() const { return m_calls.size(); }
-  /** Connections to callers with bytes that are still to be sent. */
+  /** Returns the number of callers' connections with unsent bytes. */
   std::size_t Unsent() const { return m_server->Unsent(); }
 
 private:
@@ -36,16 +42,17 @@
               int aStatus,
               std::string_view aCode);
   void Remove(std::uint64_t aCall);
-  /** What a caller with so much time has waited already, before this attempt,
-   * by the longest time that callers of its route have come with. */
+  /** Returns how long the caller has waited in earlier attempts of the same
+   * call: the longest deadline seen on the route less `aDeadline`. Returns 0 if
+   * the caller names no deadline or the difference is negligible. */
   Duration NoteDeadline(const std::string& aRoute,
                         std::optional<Duration> aDeadline);
-  /** The kind of a call with a prompt, which counts from now on; null: it has
-   * none. */
+  /** Records the prompt in the statistics of its route, and returns them.
+   * Returns null if the call has no prompt. */
   std::shared_ptr<relay::CallKind> KindOf(
     const std::string& aRoute,
     const std::optional<relay::Prompt>& aPrompt);
-  /** What was learned of routes that are declared no more. */
+  /** Drops the prompt statistics of routes that are no longer declared. */
   void ForgetOldRoutes();
   relay::RetryBudget& BudgetOf(const std::string& aService);
   double MovedTokensPerMs(const std::string& aService) const;
@@ -56,9 +63,11 @@
   std::unique_ptr<net::HttpServer> m_server;
   std::uint64_t m_lastCall = 0;
   std::unordered_map<std::uint64_t, std::unique_ptr<RelayCall>> m_calls;
+  /** Retry budgets, by service. */
   std::map<std::string, relay::RetryBudget, std::less<>> m_budgets;
-  std::map<std::string, Duration, std::less<>> m_deadlines; ///< By route.
-  /** By route. */
+  /** The longest deadline that callers have named, by route. */
+  std::map<std::string, Duration, std::less<>> m_deadlines;
+  /** Statistics of the prompts, by route. */
   std::map<std::string, std::shared_ptr<relay::CallKind>, std::less<>> m_kinds;
 };
 
--- a/packages/entry/src/RelayCall.cpp
+++ b/packages/entry/src/RelayCall.cpp
@@ -10,33 +10,40 @@
 
 namespace {
 
-/** Said by whoever is not the one that the send names. */
+/** HTTP status with which an upstream refuses a send that names another
+ * upstream. */
 constexpr int kMisdirected = 421;
 constexpr int kOk = 200;
-/** An upstream that has not taken a connection by then is out of reach: its
- * answer to the opening packet takes a few milliseconds. Below the aims of
- * plain calls (100 ms and more), so that another one can still meet them. */
+/** An upstream that has not accepted a connection within this time counts as
+ * unreachable; a healthy one accepts within a few milliseconds. The targets for
+ * the first byte of plain calls are about as long (100 ms and more), so another
+ * upstream often can still meet them. */
 constexpr Duration kConnectTimeout{ 120 };
-/** The rest of a call's time is not worth a send below this. */
+/** Smallest remaining time that a send is given. */
 constexpr Duration kLeastLeft{ 1 };
-/** Longest rest of a connection that takes a call which may run once: upstreams
- * are known to forget connections at rest from 300 ms on, and what is sent on
- * such a one may have run for all that its sender knows. */
+/** Longest idle time after which a connection is reused for a call that must
+ * run at most once. Some upstreams drop connections that were idle for 300 ms
+ * or more. If a send fails on such a connection, the sender cannot tell whether
+ * the call ran. */
 constexpr Duration kLongestRest{ 250 };
-/** Of calls that miss their aim whatever happens: behind all that can still
- * meet theirs. Routes have priorities below ten. */
+/** Priority of calls that miss their target for the first byte in any case.
+ * Engines serve them after calls that can still meet theirs. Routes have
+ * priorities below ten. */
 constexpr int kLatePriority = 9;
-/** Calls that are to be placed later are tried again so often, on average: as
- * often as the instances tell each other their loads. */
+/** Mean interval at which placement of a postponed call is retried. Instances
+ * report their loads to each other at the same interval. */
 constexpr Duration kPlaceAgain{ 40 };
-/** Time that the output of a late call needs: one that could not end any more
- * is not begun. Outputs of today's lengths take a fifth to one second. */
+/** Time reserved for a call's output after its first token. A call whose output
+ * could not end before the deadline is not started. Outputs of present lengths
+ * take 0.2 to 1 s. */
 constexpr Duration kOutputTime{ 1000 };
-/** The work to read a prompt is sure if no more than a quarter of it may have
- * been kept without this instance knowing. */
+/** The estimated prefill work of a prompt is reliable if it is at most 4/3 of
+ * the work for the prompt's own tokens: then at most a quarter of it can be
+ * cached on the engine without this instance knowing. */
 constexpr std::int64_t kSureParts = 4;
 constexpr std::int64_t kParts = 3;
-/** Freeing a handle is a courtesy: nobody waits for it. */
+/** Time-out for freeing the handle of a prompt's KV cache. Nothing waits for
+ * that request: an engine frees the cache by itself after a while. */
 constexpr Duration kFreeTimeout{ 1000 };
 
 relay::RelayTraits
@@ -52,13 +59,13 @@
 {
   switch (aCause) {
     case relay::NoPlaceCause::Full:
-      return "all are busy for too long";
+      return "all upstreams are busy for too long";
     case relay::NoPlaceCause::TooLarge:
-      return "too large for its caller's time";
+      return "prompt too large for the caller's time limit";
     case relay::NoPlaceCause::NoneSound:
       break;
   }
-  return "no sound upstream";
+  return "no sound upstream is listed";
 }
 
 std::string_view
@@ -151,7 +158,8 @@
   if (left) {
     LogEnd("caller-left", 0);
   }
-  // An action may have handled a further event; the end is told once.
+  // An action may have handled a further event, which ended the call. The
+  // signal is still emitted only once.
   if (m_flow.IsDone() && !std::exchange(m_told, true)) {
     m_timer = {};
     m_done.emit();
@@ -177,7 +185,8 @@
   request.m_excluded = aAction.m_excluded;
   request.m_mostOpen = m_start.m_connections.m_open;
   request.m_random = m_node.m_random();
-  // What was begun elsewhere is gone on with, late or not.
+  // The admission bound applies to the first placement only. A call that has
+  // been sent to an upstream before is continued, even if it is late.
   const bool isFirst = aAction.m_excluded.empty();
   request.m_pause = m_start.m_route->m_pause;
   request.m_left = LeftToFirstToken();
@@ -244,7 +253,8 @@
 Duration
 RelayCall::PlaceAgainIn() const
 {
-  // Not all that wait at once: they would all take the same room.
+  // The delay is random, as calls that retry at the same moment would all be
+  // placed on the same free capacity.
   std::uniform_int_distribution<Duration::rep> spread(
     kPlaceAgain.count() / 2, kPlaceAgain.count() * 3 / 2);
   return Duration(spread(m_node.m_random));
@@ -280,8 +290,9 @@
   }
   const relay::Member* member = m_node.m_fleet.Find(aAction.m_upstream);
   if (member == nullptr || member->m_leaving || HeldFor()) {
-    // It left, or the call was found to end upstreams, while the prompt was
-    // read elsewhere: no byte has left.
+    // While another engine prefilled the prompt, the upstream left, or the call
+    // was quarantined because upstreams crashed during it. Nothing has been
+    // sent to this upstream, so the attempt counts as unsent.
     m_attempt = {};
     m_attempt.m_id = aAction.m_attempt;
     m_attempt.m_upstream = aAction.m_upstream;
@@ -456,7 +467,7 @@
   NoteConnection(aResponse);
   if (aResponse.m_silent || aResponse.m_end == net::HttpEnd::NotSent) {
     m_node.m_fleet.NoteOutOfReach(m_attempt.m_upstream, m_node.Now());
-    LogRest("out of reach");
+    LogRest("upstream cannot be reached");
   }
   const relay::AttemptId id = m_attempt.m_id;
   if (aResponse.m_end == net::HttpEnd::NotSent) {
@@ -513,7 +524,9 @@
   const Duration waited = m_node.Now() - m_placedAt;
   const bool late = static_cast<double>(waited.count()) > m_expectedMs;
   if (aAction.m_end == relay::AttemptEnd::Abandoned && late) {
-    NoteFirstToken(); // It would have come later still.
+    // The first token would have come later still, so the time until now is a
+    // lower bound that already shows the estimate to be too low.
+    NoteFirstToken();
   }
   const bool rests = m_node.m_fleet.NoteEnded(m_attempt.m_upstream,
                                               m_attempt.m_tokens,
@@ -540,7 +553,8 @@
   net::HttpCallbacks callbacks;
   callbacks.m_done = [&node = m_node](const net::HttpResponse& aResponse) {
     if (aResponse.m_end != net::HttpEnd::Complete) {
-      // The reader drops it by itself when its time is over.
+      // The prefill engine frees the cache by itself when the lifetime of the
+      // handle ends, so the failure is only counted.
       node.m_metrics.Count("handles_not_freed_total");
     }
   };
--- a/packages/entry/src/RelayCall.h
+++ b/packages/entry/src/RelayCall.h
@@ -15,28 +15,34 @@
 
 namespace ridgeferry::entry {
 
-/** What a call knows from its beginning. */
+/** What a `RelayCall` is created with: the request, its route, and the state
+ * that it shares with other calls. */
 struct RelayCallStart
 {
   std::shared_ptr<net::HttpExchange> m_exchange;
   CallHead m_head;
-  /** Keeps the route alive when a newer configuration comes. */
+  /** Keeps `m_route` alive when a newer configuration arrives. */
   std::shared_ptr<const relay::RouteTable> m_routes;
   const relay::Route* m_route = nullptr;
   std::string m_service;
-  /** Of its route; null: it has no prompt. */
+  /** Statistics of the prompts of its route; null if it has no prompt. */
   std::shared_ptr<relay::CallKind> m_kind;
-  /** What its caller has waited already, before it came back. */
+  /** How long the caller has waited in earlier attempts of this call. */
   Duration m_lost{};
-  /** See `PlaceRequest::m_movedPerMs`. */
+  /** Throughput of KV transfers between engines, in tokens per millisecond; see
+   * `PlaceRequest::m_movedPerMs`. */
   double m_movedTokensPerMs = 0;
-  /** Of the service: connections to each of its upstreams. */
+  /** How many connections this instance may have to each upstream of the
+   * service. */
   relay::ConnectionShare m_connections;
-  relay::RetryBudget* m_budget = nullptr; ///< Of the service; outlives calls.
-  QuarantineService* m_quarantine = nullptr; ///< Outlives calls.
+  /** Retry budget of the service. Must outlive the call. */
+  relay::RetryBudget* m_budget = nullptr;
+  /** Must outlive the call. */
+  QuarantineService* m_quarantine = nullptr;
 };
 
-/** Carries out what a `RelayFlow` decides for one call. Not thread-safe. */
+/** Executes the actions that a `RelayFlow` decides for one call: placement,
+ * sends to upstreams, and the answer to the caller. Not thread-safe. */
 class RelayCall
 {
 public:
@@ -45,26 +51,35 @@
   RelayCall(const RelayCall&) = delete;
   RelayCall& operator=(const RelayCall&) = delete;
 
+  /** Starts the call. Must be called once, after a slot has been connected to
+   * `SignalDone`. */
   void Begin();
-  /** Emitted once, when the call has its final answer or its caller left. It
-   * may come from inside `Begin`; the call must outlive the emission. */
+  /** Emitted once, when the call has its final answer or its caller has
+   * disconnected. `Begin` itself may emit the signal. The call must outlive the
+   * emission. */
   sigc::signal<void()>& SignalDone() { return m_done; }
 
 private:
-  /** The send that is under way. */
+  /** The present send to an upstream. */
   struct Attempt
   {
     relay::AttemptId m_id = 0;
     net::HttpCallId m_http = 0;
     std::string m_upstream;
-    std::int64_t m_tokens = 0;      ///< That it still has to read.
-    std::int64_t m_tokensAhead = 0; ///< Under way there when it was sent.
+    /** Prefill work that remains until the first byte of the answer, in tokens
+     * (see `Fleet::WorkOf`). */
+    std::int64_t m_tokens = 0;
+    /** Tokens under way at the upstream when this send began. */
+    std::int64_t m_tokensAhead = 0;
     Instant m_sentAt;
-    bool m_workIsSure = false; ///< `m_tokens` cannot be much fewer.
-    bool m_readOnly = false;
-    bool m_saidNotRun = false;
+    /** The upstream cannot have cached so much of the prompt that `m_tokens` is
+     * far too high. */
+    bool m_workIsSure = false;
+    bool m_readOnly = false;   ///< The upstream only prefills the prompt.
+    bool m_saidNotRun = false; ///< The upstream reports that it did not run.
     bool m_hasHead = false;
-    std::optional<Instant> m_lastBytes; ///< Of a stream of events.
+    /** When the last bytes of a stream arrived. */
+    std::optional<Instant> m_lastBytes;
     net::HttpHead m_head;
   };
 
@@ -89,33 +104,48 @@
   void TakeBytes(std::string_view aBytes);
   void TakeEnd(const net::HttpResponse& aResponse);
   void NoteRepeat();
-  /** Names the call by its content; the body is read at the first use. */
+  /** Returns the digest of the call's content. Hashes the body at the first
+   * use only. */
   const quarantine::CallDigest& Digest();
-  /** For how long the call is given to no upstream; nothing: it may run. */
+  /** Returns how long the call stays quarantined (sent to no upstream), or
+   * std::nullopt if it may run. May start a trial run of the call. */
   std::optional<Duration> HeldFor();
+  /** Returns whether the quarantine allows a further run of the call. */
   bool MayRepeat();
-  /** The send under way has ended with its connection, in whatever way. */
+  /** Reports the end of the present send's connection to the quarantine: a
+   * refused connection, or one that broke before the answer was complete. */
   void NoteConnection(const net::HttpResponse& aResponse);
   void LogQuarantined(Duration aFor);
   void LogNoPlace(const relay::PlaceFault& aFault) const;
-  /** Tokens of its prompt; 0: it has none. */
+  /** Returns the number of tokens of the prompt, or 0 without a prompt. */
   std::int64_t PromptTokens() const;
+  /** Returns the delay before the next attempt to place a postponed call. */
   Duration PlaceAgainIn() const;
+  /** Reports to the fleet, once, how long the first token took compared with
+   * the estimate. */
   void NoteFirstToken();
-  /** Some bytes of a stream came: was the pause before them too long? */
+  /** Must be called when bytes of a stream arrive. Records whether the pause
+   * before them was longer than the route allows. */
   void NotePause();
-  /** Some bytes of the present attempt came. */
+  /** Must be called when bytes of the present attempt arrive. Tells the fleet
+   * that the upstream responds. */
   void NoteHeard();
-  /** Its member gets nothing for a while, and why. */
+  /** Logs and counts that the upstream of the present attempt is ejected:
+   * it gets no calls for a while. `aCause` says why. */
   void LogRest(std::string_view aCause);
+  /** Returns the time until the deadline, at least 1 ms. */
   Duration Left() const;
-  /** Until its caller gives it up if nothing has come. */
+  /** Returns the time until the caller abandons the call if no byte of the
+   * answer has arrived by then. */
   Duration UntilGivenUp() const;
-  /** Until then, or until its output could not end any more. */
+  /** Returns how long the first token may still take: until the caller abandons
+   * the call, or until the output could no longer end before the deadline,
+   * whichever comes first. */
   Duration LeftToFirstToken() const;
   void LogEnd(std::string_view aOutcome, int aStatus);
   void CountPrompt(std::string_view aOutcome);
-  /** What became of it for its caller. */
+  /** Returns how the call ended from its caller's point of view. `aOutcome` is
+   * the word that `LogEnd` logs. */
   PromptOutcome OutcomeFor(std::string_view aOutcome) const;
 
   EntryNode& m_node;
@@ -124,18 +154,24 @@
   Instant m_began;
   Instant m_deadline;
   net::Watch m_timer;
-  net::Watch m_placing; ///< Until a call that waits is tried again.
+  net::Watch m_placing; ///< Timer of the next placement of a postponed call.
   Attempt m_attempt;
-  double m_expectedMs = 0; ///< Of the first token, by the first place; 0: none.
+  /** Expected time to the first token at the first placement, in milliseconds;
+   * 0 if there is no estimate or it has been used. */
+  double m_expectedMs = 0;
   Instant m_placedAt;
-  std::optional<Instant> m_answeredAt; ///< First bytes went to its caller.
-  relay::Place m_place;                ///< The one in use.
-  bool m_paused = false; ///< Its stream has had a pause that is too long.
+  /** When the first bytes of the answer went to the caller. */
+  std::optional<Instant> m_answeredAt;
+  relay::Place m_place; ///< The present placement.
+  /** The stream had a pause that was longer than the route allows. */
+  bool m_paused = false;
   std::optional<quarantine::CallDigest> m_digest;
-  bool m_tries = false;   ///< It runs to show whether its hold is right.
-  std::string m_readBody; ///< Of a reader's answer.
-  std::string m_path;     ///< Members tried, in order, for the log.
-  bool m_told = false;
+  /** The call runs although it is quarantined, to find out whether the
+   * quarantine is justified. */
+  bool m_tries = false;
+  std::string m_readBody; ///< Body of a prefill engine's answer.
+  std::string m_path;     ///< Upstreams tried, in order, for the log.
+  bool m_told = false;    ///< `SignalDone` was emitted.
   sigc::signal<void()> m_done;
 };
 
--- a/packages/entry/src/RelayCallAnswer.cpp
+++ b/packages/entry/src/RelayCallAnswer.cpp
@@ -1,4 +1,5 @@
-// What goes back to the caller, and the line that tells a call's end.
+// The part of `RelayCall` that sends the answer to the caller and logs the end
+// of the call.
 
 #include "OwnAnswer.h"
 #include "RelayCall.h"
@@ -17,8 +18,9 @@
 constexpr int kBadGateway = 502;
 constexpr int kUnavailable = 503;
 constexpr int kGatewayTimeout = 504;
-/** Bytes of one answer that its caller may leave unread. A stream of today's
- * longest outputs is a tenth of it; a hundred such callers fit the memory. */
+/** Most bytes of one answer that may wait for a slow caller. A stream of the
+ * longest present outputs takes a tenth of this, and memory suffices for a
+ * hundred callers that are this slow. */
 constexpr std::size_t kMostUnread = std::size_t{ 512 } * 1024;
 
 OwnAnswer
@@ -63,7 +65,8 @@
       "caller-reads-too-slowly",
       { { "id", m_start.m_head.m_id },
         { "unread", static_cast<std::int64_t>(exchange->Backlog()) } });
-    // Not inside the flow's own turn: it counts as a caller that leaves.
+    // Deferred: aborting the exchange raises `CallerLeft`, which must not reach
+    // the flow while it still handles the present event.
     m_node.m_loop->Defer([exchange] { exchange->Abort(); });
   }
 }
--- a/packages/entry/src/RelayCallQuarantine.cpp
+++ b/packages/entry/src/RelayCallQuarantine.cpp
@@ -1,5 +1,6 @@
-// What a call has to do with the quarantine: its content, whether it is held,
-// and what its broken connections tell.
+// The part of `RelayCall` that works with the quarantine of calls during which
+// upstreams crash: computes the digest of the call's content, checks whether
+// the call is quarantined, and reports refused and broken connections.
 
 #include "RelayCall.h"
 
--- a/packages/entry/tests/PromptOutcomeTest.cpp
+++ b/packages/entry/tests/PromptOutcomeTest.cpp
@@ -14,6 +14,8 @@
 class SizeBandTest : public ::testing::TestWithParam<BandCase>
 {};
 
+// A wrong bound would count prompts in the neighbouring band of the metric. The
+// cases lie on both sides of the bounds.
 TEST_P(SizeBandTest, BeginsAtTwiceTheOneBefore)
 {
   EXPECT_EQ(SizeBandOf(GetParam().m_tokens), GetParam().m_band);
