--- a/packages/entry/include/ridgeferry/entry/Dialect.h
+++ b/packages/entry/include/ridgeferry/entry/Dialect.h
@@ -7,7 +7,7 @@
 #include <ridgeferry/net/Http.h>
 #include <ridgeferry/net/HttpServer.h>
 #include <ridgeferry/relay/Fleet.h>
-#include <ridgeferry/relay/PartDesk.h>
+#include <ridgeferry/relay/RoleChangeController.h>
 #include <ridgeferry/relay/Routes.h>
 #include <ridgeferry/relay/TableFollower.h>
 #include <ridgeferry/table/Table.h>
@@ -90,7 +90,7 @@
 {
   std::string m_address; ///< IP:PORT of the engine.
   std::string m_engine;
-  relay::Part m_to = relay::Part::Prefill;
+  relay::UpstreamRole m_to = relay::UpstreamRole::Prefill;
   /** Number of orders that the engine must have accepted before; otherwise the
    * order is void. */
   std::int64_t m_expectedOrders = 0;
--- a/packages/entry/src/Entry.cpp
+++ b/packages/entry/src/Entry.cpp
@@ -113,7 +113,7 @@
   /** Shortens the grace periods of expired upstreams for each data centre whose
    * instances are known to read the store again: an upstream that still exists
    * would have renewed its row by then. */
-  void BoundGraces();
+  void BoundGracePeriods();
   bool IsReady() const;
   membership::StoreView StoreView() const;
   void Tick();
@@ -279,7 +279,7 @@
                       { { "upstream", aMember.m_id },
                         { "service", aMember.m_service },
                         { "address", aMember.m_address },
-                        { "part", std::string(relay::NameOf(aMember.m_part)) },
+                        { "part", std::string(relay::NameOf(aMember.m_role)) },
                         { "leaving", aMember.m_leaving },
                         { "born", aMember.m_born.value_or(0) } });
 }
@@ -345,14 +345,15 @@
 }
 
 void
-Entry::Impl::BoundGraces()
+Entry::Impl::BoundGracePeriods()
 {
-  if (!m_node.m_fleet.HasLapsed()) {
+  if (!m_node.m_fleet.HasMemberInGracePeriod()) {
     return;
   }
   for (const std::string& hall : m_peers->Halls()) {
     if (const auto since = HallReadsSince(hall)) {
-      m_node.m_fleet.BoundGraces(hall, *since + relay::LapseGrace::kLapseTime);
+      m_node.m_fleet.BoundGracePeriods(hall,
+                                       *since + relay::LapseGrace::kLapseTime);
     }
   }
 }
@@ -412,7 +413,7 @@
 void
 Entry::Impl::Tick()
 {
-  BoundGraces();
+  BoundGracePeriods();
   for (const std::string& upstream : m_node.m_fleet.Tick(m_node.Now())) {
     m_node.m_log->Write(observe::LogLevel::Info,
                         "upstream-grace-ended",
--- a/packages/entry/src/PartKeeper.cpp
+++ b/packages/entry/src/PartKeeper.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 #include <cmath>
-#include <ridgeferry/relay/PartPlan.h>
+#include <ridgeferry/relay/DecodePoolPlanner.h>
 #include <sstream>
 #include <utility>
 
@@ -106,16 +106,16 @@
   HandleLease(authority::LeaseTick{ contends });
   const bool mayOrder =
     !m_node.m_stop.HasBegun() && m_lease.HasAuthority(m_node.Now());
-  HandleDesk(relay::DeskTick{ mayOrder });
+  HandleDesk(relay::RoleChangeTick{ mayOrder });
   // Does not plan while listed engines are in a grace period after their rows
   // expired: a plan would replace engines that may still be running.
   if (mayOrder) {
     KeepFound();
   }
-  if (mayOrder && !m_node.m_fleet.HasLapsed()) {
+  if (mayOrder && !m_node.m_fleet.HasMemberInGracePeriod()) {
     Plan();
   }
-  TellNews();
+  AnnounceRoleUpdates();
 }
 
 double
@@ -123,7 +123,7 @@
 {
   const Instant now = m_node.Now();
   const double needed =
-    m_node.m_fleet.GeneratorsNeeded(aService.m_name, *aService.m_engine);
+    m_node.m_fleet.DecodeEnginesNeeded(aService.m_name, *aService.m_engine);
   const auto age = static_cast<double>((now - aPlan.m_at).count());
   aPlan.m_held =
     std::max(needed, aPlan.m_held * std::exp(-age / kNeedMemoryMs));
@@ -133,9 +133,9 @@
 
 void
 PartKeeper::PlanService(const relay::Service& aService,
-                        std::vector<relay::PartChange>& aChanges)
+                        std::vector<relay::EngineRoleChange>& aChanges)
 {
-  if (m_node.m_fleet.ReadsBeside(aService.m_name)) {
+  if (m_node.m_fleet.AllowsColocatedPrefill(aService.m_name)) {
     m_plans.erase(aService.m_name);
     return; // Decode engines also prefill fast enough, so roles need no plan.
   }
@@ -144,11 +144,12 @@
   std::vector<relay::PlannedEngine> engines =
     m_node.m_fleet.EnginesOf(aService.m_name);
   for (relay::PlannedEngine& engine : engines) {
-    const std::optional<relay::Part> target = m_desk.TargetOf(engine.m_id);
+    const std::optional<relay::UpstreamRole> target =
+      m_desk.TargetOf(engine.m_id);
     engine.m_changes = target.has_value() || m_desk.IsLeftAlone(engine.m_id);
-    engine.m_part = target.value_or(engine.m_part);
+    engine.m_role = target.value_or(engine.m_role);
   }
-  for (const relay::PartChange& change :
+  for (const relay::EngineRoleChange& change :
        plan.m_planner.Plan(engines, needed, m_node.Now())) {
     aChanges.push_back(change);
     m_node.m_log->Write(
@@ -185,9 +186,10 @@
 }
 
 void
-PartKeeper::HandleDesk(const relay::DeskEvent& aEvent)
+PartKeeper::HandleDesk(const relay::RoleChangeEvent& aEvent)
 {
-  for (const relay::DeskAction& action : m_desk.Handle(aEvent, m_node.Now())) {
+  for (const relay::RoleChangeAction& action :
+       m_desk.Handle(aEvent, m_node.Now())) {
     std::visit([this](const auto& aTyped) { Do(aTyped); }, action);
   }
 }
@@ -243,7 +245,7 @@
   for (std::uint32_t service = 0; text >> service;) {
     out.push_back(service);
   }
-  m_node.m_fleet.RecallApart(out);
+  m_node.m_fleet.RestoreDisaggregatedServices(out);
   m_node.m_log->Write(observe::LogLevel::Info,
                       "engines-recalled",
                       { { "servicesApart", aServices } });
@@ -254,7 +256,7 @@
 {
   std::string found;
   for (const relay::Service& service : m_node.m_routes->Config().m_services) {
-    if (!m_node.m_fleet.ReadsBeside(service.m_name)) {
+    if (!m_node.m_fleet.AllowsColocatedPrefill(service.m_name)) {
       found += std::to_string(relay::Fleet::ShortHash(service.m_name)) + " ";
     }
   }
@@ -339,7 +341,7 @@
 }
 
 void
-PartKeeper::Do(const relay::SendPartOrder& aAction)
+PartKeeper::Do(const relay::SendRoleOrder& aAction)
 {
   const std::string engine = aAction.m_engine;
   const relay::Member* member = m_node.m_fleet.Find(engine);
@@ -384,7 +386,7 @@
 }
 
 void
-PartKeeper::Do(const relay::TellNews&)
+PartKeeper::Do(const relay::AnnounceRoleUpdates&)
 {
   // Updates are sent once per tick, because a message to all instances costs a
   // millisecond.
@@ -392,18 +394,18 @@
 }
 
 void
-PartKeeper::TellNews()
+PartKeeper::AnnounceRoleUpdates()
 {
   if (!std::exchange(m_newsChanged, false)) {
     return;
   }
-  const std::vector<relay::PartNews> news = m_desk.News();
-  std::vector<relay::PartNewsOf> own;
+  const std::vector<relay::RoleUpdate> news = m_desk.RoleUpdates();
+  std::vector<relay::MemberRoleUpdate> own;
   own.reserve(news.size());
-  for (const relay::PartNews& item : news) {
-    own.push_back({ relay::Fleet::ShortHash(item.m_engine), item.m_part });
+  for (const relay::RoleUpdate& item : news) {
+    own.push_back({ relay::Fleet::ShortHash(item.m_engine), item.m_role });
   }
-  m_node.m_fleet.SetNews(m_node.m_settings.m_instance, std::move(own));
+  m_node.m_fleet.SetRoleUpdates(m_node.m_settings.m_instance, std::move(own));
   m_peers.SetPartNews(news);
 }
 
--- a/packages/entry/src/PartKeeper.h
+++ b/packages/entry/src/PartKeeper.h
@@ -6,7 +6,7 @@
 
 #include <map>
 #include <ridgeferry/authority/Lease.h>
-#include <ridgeferry/relay/PartDesk.h>
+#include <ridgeferry/relay/RoleChangeController.h>
 
 namespace ridgeferry::entry {
 
@@ -28,7 +28,7 @@
   void Tick();
   void Plan();
   void PlanService(const relay::Service& aService,
-                   std::vector<relay::PartChange>& aChanges);
+                   std::vector<relay::EngineRoleChange>& aChanges);
   /** Restores the services that need disaggregated prefill. `aServices` is the
    * row's value: their hashes, separated by blanks. */
   void Recall(const std::string& aServices);
@@ -36,21 +36,21 @@
    * have changed. */
   void KeepFound();
   /** Sends the role updates to the other instances, if they have changed. */
-  void TellNews();
+  void AnnounceRoleUpdates();
   void HandleLease(const authority::LeaseEvent& aEvent);
-  void HandleDesk(const relay::DeskEvent& aEvent);
+  void HandleDesk(const relay::RoleChangeEvent& aEvent);
   void Do(const authority::ReadLease& aAction);
   void Do(const authority::WriteLease& aAction);
   void Do(const authority::AuthorityGained& aAction);
   void Do(const authority::AuthorityLost& aAction);
   void Do(const relay::AskReport& aAction);
-  void Do(const relay::SendPartOrder& aAction);
-  void Do(const relay::TellNews& aAction);
+  void Do(const relay::SendRoleOrder& aAction);
+  void Do(const relay::AnnounceRoleUpdates& aAction);
 
   /** Plan of roles for the engines of one service. */
   struct ServicePlan
   {
-    relay::PartPlanner m_planner;
+    relay::DecodePoolPlanner m_planner;
     /** Decaying maximum of the number of decode engines needed. */
     double m_held = 0;
     Instant m_at; ///< When `m_held` was last updated.
@@ -62,7 +62,7 @@
   StoreGenerations& m_generations;
   Peers& m_peers;
   authority::Lease m_lease;
-  relay::PartDesk m_desk;
+  relay::RoleChangeController m_desk;
   std::map<std::string, ServicePlan> m_plans; ///< Plans by name of service.
   /** Last known value of the store's row of services that need disaggregated
    * prefill. */
--- a/packages/entry/src/Peers.cpp
+++ b/packages/entry/src/Peers.cpp
@@ -62,28 +62,29 @@
   return out;
 }
 
-std::optional<relay::Part>
+std::optional<relay::UpstreamRole>
 PartOf(membership::EnginePart aPart)
 {
   switch (aPart) {
     case membership::EnginePart::Changing:
       return std::nullopt;
     case membership::EnginePart::Reads:
-      return relay::Part::Prefill;
+      return relay::UpstreamRole::Prefill;
     case membership::EnginePart::Generates:
       break;
   }
-  return relay::Part::Generate;
+  return relay::UpstreamRole::Decode;
 }
 
 membership::EnginePart
-DigestOf(std::optional<relay::Part> aPart)
+DigestOf(std::optional<relay::UpstreamRole> aPart)
 {
   if (!aPart) {
     return membership::EnginePart::Changing;
   }
-  return *aPart == relay::Part::Prefill ? membership::EnginePart::Reads
-                                        : membership::EnginePart::Generates;
+  return *aPart == relay::UpstreamRole::Prefill
+           ? membership::EnginePart::Reads
+           : membership::EnginePart::Generates;
 }
 
 } // namespace
@@ -141,29 +142,29 @@
     out.m_leavingUpstreams.push_back(upstream);
   }
   out.m_store = m_storeView;
-  out.m_apart = m_node.m_fleet.ToldApart();
+  out.m_apart = m_node.m_fleet.ReportedDisaggregatedServices();
   out.m_endings = m_endings;
   out.m_heldCalls = m_heldCalls;
-  for (const relay::PartNews& news : m_partNews) {
+  for (const relay::RoleUpdate& news : m_partNews) {
     out.m_parts.push_back(
-      { relay::Fleet::ShortHash(news.m_engine), DigestOf(news.m_part) });
+      { relay::Fleet::ShortHash(news.m_engine), DigestOf(news.m_role) });
   }
   const Duration since = m_roster.HeartbeatInterval() * kTellReadsTimes;
-  for (const relay::KeptPart& kept :
-       m_node.m_fleet.OwnReads(m_node.Now(), since)) {
+  for (const relay::CachedSegment& kept :
+       m_node.m_fleet.OwnPrefills(m_node.Now(), since)) {
     if (out.m_reads.size() == kMostReads) {
       break;
     }
-    out.m_reads.push_back({ kept.m_part, kept.m_member });
+    out.m_reads.push_back({ kept.m_segment, kept.m_member });
   }
   return out;
 }
 
 membership::Heartbeat
-Peers::WithLoads(std::span<const relay::OtherLoad> aLoads) const
+Peers::WithLoads(std::span<const relay::PeerLoad> aLoads) const
 {
   membership::Heartbeat out = Own();
-  for (const relay::OtherLoad& load : aLoads) {
+  for (const relay::PeerLoad& load : aLoads) {
     if (out.m_engines.size() == kMostLoads) {
       break;
     }
@@ -302,7 +303,7 @@
 }
 
 void
-Peers::SetPartNews(std::vector<relay::PartNews> aNews)
+Peers::SetPartNews(std::vector<relay::RoleUpdate> aNews)
 {
   m_partNews = std::move(aNews);
   TellAll();
@@ -379,12 +380,12 @@
   if (heartbeat->m_instance == m_node.m_settings.m_instance) {
     return;
   }
-  std::vector<relay::PartNewsOf> news;
+  std::vector<relay::MemberRoleUpdate> news;
   for (const membership::PartDigest& digest : heartbeat->m_parts) {
     news.push_back({ digest.m_engine, PartOf(digest.m_part) });
   }
   for (const membership::ReadDigest& digest : heartbeat->m_reads) {
-    m_node.m_fleet.NoteKept({ digest.m_part, digest.m_engine }, m_node.Now());
+    m_node.m_fleet.NoteCached({ digest.m_part, digest.m_engine }, m_node.Now());
   }
   if (heartbeat->m_store) {
     TellStoreView(*heartbeat->m_store);
@@ -394,20 +395,22 @@
   }
   m_counted.insert(heartbeat->m_instance);
   TakeLoads(*heartbeat);
-  m_node.m_fleet.SetNews(heartbeat->m_instance, std::move(news));
-  m_node.m_fleet.SetApart(heartbeat->m_instance, heartbeat->m_apart);
+  m_node.m_fleet.SetRoleUpdates(heartbeat->m_instance, std::move(news));
+  m_node.m_fleet.SetDisaggregatedServices(heartbeat->m_instance,
+                                          heartbeat->m_apart);
   Handle(membership::HeartbeatArrived{ std::move(*heartbeat) });
 }
 
 void
 Peers::TakeLoads(const membership::Heartbeat& aHeartbeat)
 {
-  std::vector<relay::OtherLoad> loads;
+  std::vector<relay::PeerLoad> loads;
   for (const membership::EngineDigest& digest : aHeartbeat.m_engines) {
     loads.push_back({ digest.m_engine, digest.m_running, digest.m_work });
   }
   if (aHeartbeat.m_tellsHall) {
-    m_node.m_fleet.SetOther(kHallPrefix + aHeartbeat.m_hall, std::move(loads));
+    m_node.m_fleet.SetPeerLoads(kHallPrefix + aHeartbeat.m_hall,
+                                std::move(loads));
     m_countedHalls[aHeartbeat.m_hall] = m_node.Now();
     return;
   }
@@ -417,7 +420,7 @@
     // The calls of this instance are included in the sum of its data centre.
     loads.clear();
   }
-  m_node.m_fleet.SetOther(aHeartbeat.m_instance, std::move(loads));
+  m_node.m_fleet.SetPeerLoads(aHeartbeat.m_instance, std::move(loads));
 }
 
 void
@@ -426,7 +429,7 @@
   std::erase_if(m_countedHalls, [this](const auto& aHall) {
     const bool old = m_node.Now() - aHall.second >= kHallLoadsFor;
     if (old) {
-      m_node.m_fleet.SetOther(kHallPrefix + aHall.first, {});
+      m_node.m_fleet.SetPeerLoads(kHallPrefix + aHall.first, {});
     }
     return old;
   });
@@ -452,9 +455,9 @@
     const bool alive = found != peers.end() && found->second.m_alive;
     if (!alive) {
       m_hallLoads.Set(aInstance, {});
-      m_node.m_fleet.SetOther(aInstance, {});
-      m_node.m_fleet.SetNews(aInstance, {});
-      m_node.m_fleet.SetApart(aInstance, {});
+      m_node.m_fleet.SetPeerLoads(aInstance, {});
+      m_node.m_fleet.SetRoleUpdates(aInstance, {});
+      m_node.m_fleet.SetDisaggregatedServices(aInstance, {});
       m_node.m_log->Write(
         observe::LogLevel::Info, "peer-silent", { { "peer", aInstance } });
     }
--- a/packages/entry/src/Peers.h
+++ b/packages/entry/src/Peers.h
@@ -7,7 +7,7 @@
 #include <ridgeferry/membership/Roster.h>
 #include <ridgeferry/membership/StoreDuty.h>
 #include <ridgeferry/net/UdpSocket.h>
-#include <ridgeferry/relay/HallLoads.h>
+#include <ridgeferry/relay/DataCentreLoads.h>
 #include <ridgeferry/relay/LeavingNews.h>
 #include <set>
 #include <sigc++/sigc++.h>
@@ -41,7 +41,7 @@
   void SetState(bool aReady, bool aLeaving);
   /** Sets the role updates that this instance knows before the list shows them.
    * Sends them at once and with each heartbeat. */
-  void SetPartNews(std::vector<relay::PartNews> aNews);
+  void SetPartNews(std::vector<relay::RoleUpdate> aNews);
   /** Sets the recent crashes of upstreams during calls that this instance saw,
    * and the fingerprint of the calls that it has quarantined (std::nullopt
    * while it has not learned them). Both are sent with each heartbeat. */
@@ -123,7 +123,7 @@
   /** Builds the heartbeat of this instance without loads. */
   membership::Heartbeat Own() const;
   membership::Heartbeat WithLoads(
-    std::span<const relay::OtherLoad> aLoads) const;
+    std::span<const relay::PeerLoad> aLoads) const;
   void Send(const membership::Heartbeat& aHeartbeat,
             const std::set<std::string>& aAddresses);
   void SendHallLoads(const std::set<std::string>& aAddresses);
@@ -152,12 +152,12 @@
   bool m_leaving = false;
   relay::LeavingNews m_news;
   membership::StoreView m_storeView;
-  std::vector<relay::PartNews> m_partNews;
+  std::vector<relay::RoleUpdate> m_partNews;
   std::vector<membership::EndingDigest> m_endings;
   std::optional<std::uint64_t> m_heldCalls;
   std::set<std::string> m_counted; ///< Instances whose loads are counted.
   /** Loads of the instances of this data centre. */
-  relay::HallLoads m_hallLoads;
+  relay::DataCentreLoads m_hallLoads;
   /** Other data centres whose summed loads are counted, and when the last sum
    * arrived. */
   std::map<std::string, Instant> m_countedHalls;
--- a/packages/entry/src/RelayCall.cpp
+++ b/packages/entry/src/RelayCall.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cmath>
 #include <ridgeferry/entry/PassableHeaders.h>
-#include <ridgeferry/relay/Patience.h>
+#include <ridgeferry/relay/AdmissionBound.h>
 #include <utility>
 
 namespace ridgeferry::entry {
@@ -196,8 +196,8 @@
   if (isFirst && m_start.m_head.m_prompt &&
       m_start.m_route->m_aim.count() > 0) {
     const Duration spent = m_node.Now() - m_began;
-    request.m_patience =
-      relay::PatienceOf(m_start.m_route->m_aim) - spent - m_start.m_lost;
+    request.m_admissionBound =
+      relay::AdmissionBoundOf(m_start.m_route->m_aim) - spent - m_start.m_lost;
   }
   const relay::PlaceResult result =
     m_node.m_fleet.FindPlace(request, m_node.Now());
@@ -213,7 +213,7 @@
     if (isFirst && m_start.m_kind != nullptr) {
       m_start.m_kind->m_allowance.NoteAdmitted(place->m_forItsSize);
     }
-    Handle(relay::PlaceFound{ place->m_upstream, place->m_reader });
+    Handle(relay::PlaceFound{ place->m_upstream, place->m_prefillEngine });
   } else {
     const auto& fault = std::get<relay::PlaceFault>(result);
     LogNoPlace(fault);
@@ -273,7 +273,7 @@
   if (aAction.m_repeat) {
     NoteRepeat();
   }
-  const relay::Member* reader = m_node.m_fleet.Find(aAction.m_reader);
+  const relay::Member* reader = m_node.m_fleet.Find(aAction.m_prefillEngine);
   SendTerms terms;
   terms.m_readOnly = true;
   if (const relay::Member* donor = m_node.m_fleet.Find(m_place.m_fetchFrom)) {
@@ -303,7 +303,7 @@
   SendTerms terms;
   terms.m_resumeAfter = aAction.m_resumeAfter;
   if (!aAction.m_handle.empty()) {
-    const relay::Member* reader = m_node.m_fleet.Find(aAction.m_reader);
+    const relay::Member* reader = m_node.m_fleet.Find(aAction.m_prefillEngine);
     if (reader != nullptr) {
       terms.m_readerAddress = reader->m_address;
       terms.m_handle = aAction.m_handle;
@@ -330,7 +330,7 @@
                : m_node.m_fleet.WorkAt(prompt, aMember.m_id, m_node.Now());
     const std::int64_t least = relay::Fleet::WorkOf(prompt, prompt.m_ownTokens);
     m_attempt.m_workIsSure = m_attempt.m_tokens <= least * kSureParts / kParts;
-    m_node.m_fleet.NoteRead(prompt, aMember.m_id, m_node.Now());
+    m_node.m_fleet.NotePrefill(prompt, aMember.m_id, m_node.Now());
   }
   m_path += (m_path.empty() ? "" : ",") + aMember.m_id;
   aTerms.m_address = aMember.m_address;
@@ -383,9 +383,9 @@
 }
 
 void
-RelayCall::NoteHeard()
+RelayCall::NoteResponse()
 {
-  if (m_node.m_fleet.NoteHeard(m_attempt.m_upstream)) {
+  if (m_node.m_fleet.NoteResponse(m_attempt.m_upstream)) {
     m_node.m_log->Write(
       observe::LogLevel::Info,
       "upstream-answers-again",
@@ -409,12 +409,12 @@
 void
 RelayCall::TakeHead(const net::HttpHead& aHead)
 {
-  NoteHeard();
+  NoteResponse();
   m_start.m_quarantine->NoteAnswered(m_attempt.m_upstream, m_attempt.m_sentAt);
   const bool read =
     aHead.m_status == kOk && !m_node.m_dialect.m_saysNotRun(aHead);
   if (m_attempt.m_tokens > 0 && read) {
-    m_node.m_fleet.NotePace(
+    m_node.m_fleet.NoteThroughput(
       { m_attempt.m_upstream,
         m_attempt.m_tokensAhead + m_attempt.m_tokens,
         m_node.Now() - m_attempt.m_sentAt,
@@ -451,7 +451,7 @@
 void
 RelayCall::TakeBytes(std::string_view aBytes)
 {
-  NoteHeard();
+  NoteResponse();
   NotePause();
   if (m_attempt.m_readOnly) {
     m_readBody.append(aBytes);
@@ -466,7 +466,7 @@
   m_attempt.m_http = 0;
   NoteConnection(aResponse);
   if (aResponse.m_silent || aResponse.m_end == net::HttpEnd::NotSent) {
-    m_node.m_fleet.NoteOutOfReach(m_attempt.m_upstream, m_node.Now());
+    m_node.m_fleet.NoteUnreachable(m_attempt.m_upstream, m_node.Now());
     LogRest("upstream cannot be reached");
   }
   const relay::AttemptId id = m_attempt.m_id;
@@ -542,7 +542,7 @@
 void
 RelayCall::Do(const relay::FreeHandle& aAction)
 {
-  const relay::Member* reader = m_node.m_fleet.Find(aAction.m_reader);
+  const relay::Member* reader = m_node.m_fleet.Find(aAction.m_prefillEngine);
   if (reader == nullptr) {
     return;
   }
--- a/packages/entry/src/RelayCall.h
+++ b/packages/entry/src/RelayCall.h
@@ -129,7 +129,7 @@
   void NotePause();
   /** Must be called when bytes of the present attempt arrive. Tells the fleet
    * that the upstream responds. */
-  void NoteHeard();
+  void NoteResponse();
   /** Logs and counts that the upstream of the present attempt is ejected:
    * it gets no calls for a while. `aCause` says why. */
   void LogRest(std::string_view aCause);
--- a/packages/experiment/include/ridgeferry/experiment/EngineModel.h
+++ b/packages/experiment/include/ridgeferry/experiment/EngineModel.h
@@ -61,7 +61,7 @@
 class EngineModel
 {
 public:
-  EngineModel(EngineTerms aTerms, relay::Part aPart);
+  EngineModel(EngineTerms aTerms, relay::UpstreamRole aPart);
 
   void Add(const EngineJob& aJob, Moment aNow);
   /** Its caller has left; unknown ids have no effect. */
@@ -102,7 +102,7 @@
   static std::int64_t SizeOf(const EngineJob& aJob);
 
   EngineTerms m_terms;
-  relay::Part m_part;
+  relay::UpstreamRole m_role;
   std::deque<EngineJob> m_waiting;
   std::list<Active> m_active;  ///< In the order of their admission.
   std::list<KeptPart> m_parts; ///< The one used last comes first.
--- a/packages/experiment/src/EngineModel.cpp
+++ b/packages/experiment/src/EngineModel.cpp
@@ -14,9 +14,9 @@
 
 } // namespace
 
-EngineModel::EngineModel(EngineTerms aTerms, relay::Part aPart)
+EngineModel::EngineModel(EngineTerms aTerms, relay::UpstreamRole aPart)
   : m_terms(aTerms)
-  , m_part(aPart)
+  , m_role(aPart)
 {
 }
 
@@ -143,7 +143,7 @@
 std::int64_t
 EngineModel::MostPiece() const
 {
-  return m_part == relay::Part::Generate
+  return m_role == relay::UpstreamRole::Decode
            ? m_terms.m_pieceTokens / kGeneratorPieces
            : m_terms.m_pieceTokens;
 }
@@ -151,8 +151,9 @@
 double
 EngineModel::PieceMs(std::int64_t aTokens) const
 {
-  const double pace = m_terms.m_readTokensPerMs *
-                      (m_part == relay::Part::Generate ? kGeneratorPace : 1);
+  const double pace =
+    m_terms.m_readTokensPerMs *
+    (m_role == relay::UpstreamRole::Decode ? kGeneratorPace : 1);
   return static_cast<double>(aTokens) / pace;
 }
 
--- a/packages/experiment/src/FleetModel.cpp
+++ b/packages/experiment/src/FleetModel.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 #include <cmath>
-#include <ridgeferry/relay/Patience.h>
+#include <ridgeferry/relay/AdmissionBound.h>
 
 namespace ridgeferry::experiment {
 
@@ -47,17 +47,17 @@
   }
   if (aScenario.m_readsApart) {
     for (relay::Fleet& fleet : m_fleets) {
-      fleet.RecallApart({ relay::Fleet::ShortHash(kService) });
+      fleet.RestoreDisaggregatedServices({ relay::Fleet::ShortHash(kService) });
     }
   }
   const std::int64_t all = aScenario.m_readers + aScenario.m_generators;
   for (std::int64_t i = 0; i < all; ++i) {
     Engine engine;
-    engine.m_part =
-      i < aScenario.m_readers ? relay::Part::Prefill : relay::Part::Generate;
+    engine.m_role = i < aScenario.m_readers ? relay::UpstreamRole::Prefill
+                                            : relay::UpstreamRole::Decode;
     engine.m_id = "e-" + std::to_string(i) + "-0";
     engine.m_model =
-      std::make_unique<EngineModel>(aScenario.m_engine, engine.m_part);
+      std::make_unique<EngineModel>(aScenario.m_engine, engine.m_role);
     m_byId[engine.m_id] = m_engines.size();
     m_engines.push_back(std::move(engine));
     Put(m_engines.back());
@@ -136,11 +136,11 @@
   out.m_sharedKey = aCall.m_chain;
   out.m_sharedTokens = shared;
   if (terms.m_commonTokens > 0) {
-    out.m_parts.push_back(
+    out.m_prefixSegments.push_back(
       { static_cast<std::uint32_t>(aCall.m_kind + 1), terms.m_commonTokens });
   }
   if (terms.m_chainTokens > 0) {
-    out.m_parts.push_back(
+    out.m_prefixSegments.push_back(
       { static_cast<std::uint32_t>(aCall.m_chain), terms.m_chainTokens });
   }
   out.m_commonTokens = terms.m_commonTokens;
@@ -157,7 +157,7 @@
   member.m_hall = kHall;
   member.m_address = aEngine.m_id;
   member.m_slots = m_scenario.m_engine.m_slots;
-  member.m_part = aEngine.m_part;
+  member.m_role = aEngine.m_role;
   for (relay::Fleet& fleet : m_fleets) {
     fleet.Put(member);
   }
@@ -207,7 +207,7 @@
   out.m_untilGivenUp = terms.m_deadline - spent;
   out.m_left = out.m_untilGivenUp - kOutputTime;
   if (aCall.m_excluded.empty()) {
-    out.m_patience = relay::PatienceOf(terms.m_aim) - spent;
+    out.m_admissionBound = relay::AdmissionBoundOf(terms.m_aim) - spent;
   }
   return out;
 }
@@ -233,7 +233,7 @@
     return;
   }
   const auto& place = std::get<relay::Place>(result);
-  call.m_reader = place.m_reader;
+  call.m_prefillEngine = place.m_prefillEngine;
   call.m_generator = place.m_upstream;
   call.m_expectedMs = call.m_excluded.empty() ? place.m_expectedMs : 0;
   call.m_late = place.m_late;
@@ -242,8 +242,8 @@
   }
   call.m_placedAt = m_now;
   Send(aCall,
-       call.m_reader.empty() ? call.m_generator : call.m_reader,
-       !call.m_reader.empty());
+       call.m_prefillEngine.empty() ? call.m_generator : call.m_prefillEngine,
+       !call.m_prefillEngine.empty());
 }
 
 void
@@ -252,7 +252,7 @@
   ModelCall& call = m_calls[aCall];
   std::vector<std::string> listed;
   for (const Engine& engine : m_engines) {
-    if (engine.m_part == relay::Part::Generate &&
+    if (engine.m_role == relay::UpstreamRole::Decode &&
         FleetOf(call).Find(engine.m_id) != nullptr) {
       listed.push_back(engine.m_id);
     }
@@ -262,7 +262,7 @@
     return;
   }
   std::uniform_int_distribution<std::size_t> draw(0, listed.size() - 1);
-  call.m_reader.clear();
+  call.m_prefillEngine.clear();
   call.m_generator = listed[draw(m_random)];
   call.m_expectedMs = 0;
   call.m_placedAt = m_now;
@@ -296,11 +296,11 @@
   call.m_job = ++m_lastJob;
   call.m_member = aMember;
   call.m_sentAt = m_now;
-  const bool reads = aReadOnly || call.m_reader.empty();
+  const bool reads = aReadOnly || call.m_prefillEngine.empty();
   const relay::Prompt prompt = PromptOf(call);
   call.m_tokens = reads ? fleet.WorkAt(prompt, aMember, Now()) : 0;
   if (reads) {
-    fleet.NoteRead(prompt, aMember, Now());
+    fleet.NotePrefill(prompt, aMember, Now());
   }
   call.m_tokensAhead = fleet.TokensAt(aMember);
   fleet.NoteSent(aMember, call.m_tokens, Now());
@@ -334,7 +334,7 @@
   job.m_outTokens = call.m_outTokens;
   job.m_readOnly = aEvent.m_readOnly;
   job.m_late = call.m_late;
-  job.m_handedOver = !aEvent.m_readOnly && !call.m_reader.empty();
+  job.m_handedOver = !aEvent.m_readOnly && !call.m_prefillEngine.empty();
   m_engines[found->second].m_model->Add(job, m_now);
   PlanStep(found->second);
 }
@@ -387,10 +387,10 @@
 {
   relay::Fleet& fleet = FleetOf(aCall);
   if (aCall.m_tokens > 0) {
-    fleet.NotePace({ aCall.m_member,
-                     aCall.m_tokensAhead + aCall.m_tokens,
-                     Duration(std::llround(m_now - aCall.m_sentAt)),
-                     false });
+    fleet.NoteThroughput({ aCall.m_member,
+                           aCall.m_tokensAhead + aCall.m_tokens,
+                           Duration(std::llround(m_now - aCall.m_sentAt)),
+                           false });
   }
   fleet.NoteFirstByte(aCall.m_member, aCall.m_tokens);
   aCall.m_tokens = 0;
@@ -400,7 +400,7 @@
 FleetModel::Take(std::size_t aCall, const PromptDone&)
 {
   ModelCall& call = m_calls[aCall];
-  FleetOf(call).NoteHeard(call.m_member);
+  FleetOf(call).NoteResponse(call.m_member);
   NoteFirstToken(call);
   EndAttempt(call, relay::AttemptEnd::Served);
   Send(aCall, call.m_generator, false);
@@ -410,7 +410,7 @@
 FleetModel::Take(std::size_t aCall, const TokenDone& aDone)
 {
   ModelCall& call = m_calls[aCall];
-  FleetOf(call).NoteHeard(call.m_member);
+  FleetOf(call).NoteResponse(call.m_member);
   if (!call.m_firstToken) {
     call.m_firstToken = m_now + kWayMs;
     NoteFirstToken(call);
@@ -440,7 +440,7 @@
   if (call.m_job != aEvent.m_job) {
     return;
   }
-  FleetOf(call).NoteOutOfReach(call.m_member, Now());
+  FleetOf(call).NoteUnreachable(call.m_member, Now());
   call.m_excluded.push_back(call.m_member);
   EndAttempt(call, relay::AttemptEnd::Failed);
   Place(aEvent.m_call);
@@ -451,12 +451,13 @@
 {
   const std::string name = "i-" + std::to_string(aEvent.m_instance);
   const auto loads = m_fleets[aEvent.m_instance].OwnLoads();
-  const auto reads = m_fleets[aEvent.m_instance].OwnReads(Now(), kTellReadsFor);
+  const auto reads =
+    m_fleets[aEvent.m_instance].OwnPrefills(Now(), kTellReadsFor);
   for (std::size_t i = 0; i < m_fleets.size(); ++i) {
     if (i != aEvent.m_instance) {
-      m_fleets[i].SetOther(name, loads);
-      for (const relay::KeptPart& part : reads) {
-        m_fleets[i].NoteKept(part, Now());
+      m_fleets[i].SetPeerLoads(name, loads);
+      for (const relay::CachedSegment& part : reads) {
+        m_fleets[i].NoteCached(part, Now());
       }
     }
   }
--- a/packages/experiment/src/FleetModel.h
+++ b/packages/experiment/src/FleetModel.h
@@ -26,7 +26,7 @@
   std::uint64_t m_job = 0; ///< Of the present attempt; 0: none.
   bool m_done = false;
   std::vector<std::string> m_excluded;
-  std::string m_reader;
+  std::string m_prefillEngine;
   std::string m_generator;
   std::string m_member; ///< Where the present job is.
   std::int64_t m_tokens = 0;
@@ -133,7 +133,7 @@
   struct Engine
   {
     std::string m_id; ///< Another one after it was dark.
-    relay::Part m_part = relay::Part::Generate;
+    relay::UpstreamRole m_role = relay::UpstreamRole::Decode;
     std::unique_ptr<EngineModel> m_model;
     bool m_dark = false;
     std::optional<Moment> m_stepPlanned;
--- a/packages/experiment/tests/EngineModelTest.cpp
+++ b/packages/experiment/tests/EngineModelTest.cpp
@@ -52,7 +52,7 @@
 struct PaceCase
 {
   const char* m_name;
-  relay::Part m_part;
+  relay::UpstreamRole m_role;
   bool m_readOnly;
   double m_least;
   double m_most;
@@ -63,7 +63,7 @@
 
 TEST_P(EnginePaceTest, ReadsAPromptAtItsPace)
 {
-  EngineModel engine(Terms(), GetParam().m_part);
+  EngineModel engine(Terms(), GetParam().m_role);
   EngineJob job = Job(1, 4000);
   job.m_readOnly = GetParam().m_readOnly;
   engine.Add(job, 0);
@@ -77,13 +77,13 @@
   Parts,
   EnginePaceTest,
   ::testing::Values(
-    PaceCase{ "Reader", relay::Part::Prefill, true, 40, 40.2 },
-    PaceCase{ "Generator", relay::Part::Generate, false, 81, 81.2 }),
+    PaceCase{ "Reader", relay::UpstreamRole::Prefill, true, 40, 40.2 },
+    PaceCase{ "Generator", relay::UpstreamRole::Decode, false, 81, 81.2 }),
   [](const auto& aInfo) { return std::string(aInfo.param.m_name); });
 
 TEST(EngineModelTest, WhatIsKeptIsNotReadAgain)
 {
-  EngineModel engine(Terms(), relay::Part::Prefill);
+  EngineModel engine(Terms(), relay::UpstreamRole::Prefill);
   for (std::uint64_t id = 1; id <= 2; ++id) {
     EngineJob job = Job(id, 500);
     job.m_readOnly = true;
@@ -100,7 +100,7 @@
 
 TEST(EngineModelTest, PartsUnusedLongestGiveWay)
 {
-  EngineModel engine(Terms(), relay::Part::Prefill);
+  EngineModel engine(Terms(), relay::UpstreamRole::Prefill);
   const auto read = [&](std::uint64_t aChain) {
     EngineJob job = Job(aChain, 100);
     job.m_readOnly = true;
@@ -121,7 +121,7 @@
 
 TEST(EngineModelTest, RunningJobsGiveOneTokenAStep)
 {
-  EngineModel engine(Terms(), relay::Part::Generate);
+  EngineModel engine(Terms(), relay::UpstreamRole::Decode);
   for (std::uint64_t id = 1; id <= 4; ++id) {
     EngineJob job = Job(id, 10, 20);
     job.m_handedOver = true;
@@ -136,7 +136,7 @@
 
 TEST(EngineModelTest, BeyondItsSlotsJobsWait)
 {
-  EngineModel engine(Terms(), relay::Part::Generate);
+  EngineModel engine(Terms(), relay::UpstreamRole::Decode);
   for (std::uint64_t id = 1; id <= 5; ++id) {
     EngineJob job = Job(id, 10, 20);
     job.m_handedOver = true;
@@ -148,7 +148,7 @@
 
 TEST(EngineModelTest, ACancelledJobSaysNothingMore)
 {
-  EngineModel engine(Terms(), relay::Part::Generate);
+  EngineModel engine(Terms(), relay::UpstreamRole::Decode);
   engine.Add(Job(1, 1000, 5), 0);
   engine.Add(Job(2, 1000, 5), 0);
   engine.Cancel(1);
--- a/packages/relay/include/ridgeferry/relay/Patience.h
+++ b/packages/relay/include/ridgeferry/relay/AdmissionBound.h
@@ -12,7 +12,7 @@
  * the meantime.
  */
 inline Duration
-PatienceOf(Duration aAim)
+AdmissionBoundOf(Duration aAim)
 {
   constexpr int kTenths = 7;
   constexpr int kWhole = 10;
--- a/packages/relay/include/ridgeferry/relay/ReadingBeside.h
+++ b/packages/relay/include/ridgeferry/relay/ColocatedPrefill.h
@@ -20,21 +20,21 @@
  * pauses streams of any engine. This class only makes decisions and does no
  * I/O. It is not thread-safe.
  */
-class ReadingBeside
+class ColocatedPrefill
 {
 public:
   /**
    * Records that a caller sent a long prompt. `aWork` is the work
-   * (`Fleet::WorkToRead`) to prefill it without any cached prefix, as after
+   * (`Fleet::WorkToPrefill`) to prefill it without any cached prefix, as after
    * each loss of the cache. `aPause` is the longest pause between events that
    * the caller accepts.
    */
   void NotePrompt(double aWork, Duration aPause);
   /**
-   * Records that a decode engine did `aPace` units of prefill work per
+   * Records that a decode engine did `aThroughput` units of prefill work per
    * millisecond.
    */
-  void NotePace(double aPace);
+  void NoteThroughput(double aThroughput);
   /**
    * Records that a stream of the service ended without a pause that its caller
    * would mind (`aPaused` is false), or has just had such a pause.
@@ -50,7 +50,7 @@
   double m_work = 0;
   int m_prompts = 0;
   double m_pauseMs = 0;
-  double m_pace = 0;
+  double m_throughput = 0;
   int m_paces = 0;
   double m_pausedShare = 0;
   int m_streams = 0;
--- a/packages/relay/include/ridgeferry/relay/HallLoads.h
+++ b/packages/relay/include/ridgeferry/relay/DataCentreLoads.h
@@ -18,24 +18,24 @@
  * (computed from the interval between two messages). This class only makes
  * decisions and does no I/O. It is not thread-safe.
  */
-class HallLoads
+class DataCentreLoads
 {
 public:
   /**
    * Replaces the load of an instance of the data centre. An empty vector means
    * that the instance has no load or has ended.
    */
-  void Set(const std::string& aInstance, std::vector<OtherLoad> aLoads);
+  void Set(const std::string& aInstance, std::vector<PeerLoad> aLoads);
 
   /**
    * Returns the sum of all instances' loads and `aOwn` for at most `aMost`
    * members, those with the most tokens to prefill first.
    */
-  std::vector<OtherLoad> Sum(std::span<const OtherLoad> aOwn,
-                             std::size_t aMost) const;
+  std::vector<PeerLoad> Sum(std::span<const PeerLoad> aOwn,
+                            std::size_t aMost) const;
 
 private:
-  std::map<std::string, std::vector<OtherLoad>, std::less<>> m_loads;
+  std::map<std::string, std::vector<PeerLoad>, std::less<>> m_loads;
 };
 
 } // namespace ridgeferry::relay
--- a/packages/relay/include/ridgeferry/relay/PartPlan.h
+++ b/packages/relay/include/ridgeferry/relay/DecodePoolPlanner.h
@@ -16,17 +16,17 @@
   std::string m_id;
   std::string m_hall;
   /** The current role, or the target role while the engine changes. */
-  Part m_part = Part::Generate;
+  UpstreamRole m_role = UpstreamRole::Decode;
   std::int64_t m_running = 0; ///< Calls in flight there from all instances.
   bool m_changes = false;     ///< Whether the engine is already changing roles.
 };
 
 /** Requests that an engine take on another role. */
-struct PartChange
+struct EngineRoleChange
 {
   std::string m_engine;
-  Part m_to = Part::Prefill;
-  bool operator==(const PartChange&) const = default;
+  UpstreamRole m_to = UpstreamRole::Prefill;
+  bool operator==(const EngineRoleChange&) const = default;
 };
 
 /**
@@ -41,7 +41,7 @@
  * is cut off from the others. This class only makes decisions and does no I/O.
  * It is not thread-safe.
  */
-class PartPlanner
+class DecodePoolPlanner
 {
 public:
   /**
@@ -57,9 +57,9 @@
    * engines. `aNeeded` is the number of decode engines that the output of all
    * data centres keeps busy.
    */
-  std::vector<PartChange> Plan(std::span<const PlannedEngine> aEngines,
-                               double aNeeded,
-                               Instant aNow);
+  std::vector<EngineRoleChange> Plan(std::span<const PlannedEngine> aEngines,
+                                     double aNeeded,
+                                     Instant aNow);
 
 private:
   /** For each data centre that is short of decode engines, since when it is. */
--- a/packages/relay/include/ridgeferry/relay/Fleet.h
+++ b/packages/relay/include/ridgeferry/relay/Fleet.h
@@ -6,13 +6,13 @@
 #include <optional>
 #include <ridgeferry/base/Time.h>
 #include <ridgeferry/relay/AttemptEnd.h>
-#include <ridgeferry/relay/KeptParts.h>
-#include <ridgeferry/relay/MedianPace.h>
+#include <ridgeferry/relay/ColocatedPrefill.h>
+#include <ridgeferry/relay/MedianThroughput.h>
 #include <ridgeferry/relay/Member.h>
-#include <ridgeferry/relay/PartDesk.h>
 #include <ridgeferry/relay/Placement.h>
+#include <ridgeferry/relay/PrefixCacheIndex.h>
 #include <ridgeferry/relay/Prompt.h>
-#include <ridgeferry/relay/ReadingBeside.h>
+#include <ridgeferry/relay/RoleChangeController.h>
 #include <ridgeferry/relay/Routes.h>
 #include <span>
 #include <string>
@@ -26,7 +26,7 @@
  * A measurement of how fast an engine prefills, taken from sending a call to
  * the engine until the first byte of its answer.
  */
-struct PaceSample
+struct ThroughputSample
 {
   std::string_view m_engine;
   /**
@@ -45,24 +45,24 @@
 };
 
 /** The calls that another instance has in flight at one member. */
-struct OtherLoad
+struct PeerLoad
 {
   std::uint32_t m_member = 0; ///< `Fleet::ShortHash` of the member's id.
   std::int64_t m_running = 0;
   std::int64_t m_tokens = 0; ///< Prompt tokens that are still to be prefilled.
-  bool operator==(const OtherLoad&) const = default;
+  bool operator==(const PeerLoad&) const = default;
 };
 
 /**
  * A change of an engine's role that another instance announced before the list
  * of members shows it.
  */
-struct PartNewsOf
+struct MemberRoleUpdate
 {
   std::uint32_t m_member = 0; ///< `Fleet::ShortHash` of the engine's id.
   /** The new role, or empty while the engine changes roles. */
-  std::optional<Part> m_part;
-  bool operator==(const PartNewsOf&) const = default;
+  std::optional<UpstreamRole> m_role;
+  bool operator==(const MemberRoleUpdate&) const = default;
 };
 
 /**
@@ -86,29 +86,29 @@
    * can be chance; three in a row are not, at the error rates of sound
    * upstreams.
    */
-  static constexpr int kFailuresToRest = 3;
-  static constexpr Duration kRest{ 1000 };
+  static constexpr int kFailuresToEject = 3;
+  static constexpr Duration kEjectionTime{ 1000 };
   /**
    * Ejection time of a member at whose address another upstream answers. The
    * list of members should show the new address within two seconds, unless the
    * store is unavailable.
    */
-  static constexpr Duration kDisplacedRest{ 3000 };
+  static constexpr Duration kMisdirectedEjectionTime{ 3000 };
   /**
    * How long a member may leave a call unanswered before it counts as
    * unresponsive and gets no further calls while other members are sound. 300
    * ms is far more than a decode step or a plain call takes. An engine gets
    * additional time: the expected prefill time of the prompts queued there,
-   * times `kSilenceOfWork`, because an engine in the prefill role sends nothing
-   * before it has processed the prompt.
+   * times `kResponseTimeoutWorkFactor`, because an engine in the prefill role
+   * sends nothing before it has processed the prompt.
    */
-  static constexpr Duration kSilence{ 300 };
-  static constexpr double kSilenceOfWork = 1.5;
+  static constexpr Duration kResponseTimeout{ 300 };
+  static constexpr double kResponseTimeoutWorkFactor = 1.5;
   /**
    * Upper bound of an engine's response time-out. Callers give up after two
    * seconds.
    */
-  static constexpr Duration kMostSilence{ 1500 };
+  static constexpr Duration kMaxResponseTimeout{ 1500 };
   /**
    * Number of removed members whose start time is remembered, so that a late
    * row of an earlier incarnation does not bring one back. The limit covers
@@ -120,14 +120,14 @@
    * the member fails. The doubling keeps members behind a network partition
    * from costing every caller on this side a failed attempt.
    */
-  static constexpr Duration kLongestRest{ 4000 };
+  static constexpr Duration kMaxEjectionTime{ 4000 };
   /**
    * Number of consecutive refusals after which a member is ejected, and for how
    * long. An engine that is changing roles refuses every call; it therefore
    * looks idle and would otherwise attract all calls.
    */
-  static constexpr int kDeclinesToRest = 2;
-  static constexpr Duration kDeclinedRest{ 300 };
+  static constexpr int kDeclinesToEject = 2;
+  static constexpr Duration kDeclinedEjectionTime{ 300 };
 
   /**
    * Adds or updates a member from a row of the list. Within one incarnation, a
@@ -148,7 +148,7 @@
    * Ends the grace periods of all vanished members of data centre `aHall` at
    * `aUntil` at the latest.
    */
-  void BoundGraces(std::string_view aHall, Instant aUntil);
+  void BoundGracePeriods(std::string_view aHall, Instant aUntil);
   /**
    * Marks a member as leaving, as another instance announced, so that it gets
    * no new calls. Has no effect on another incarnation of the member.
@@ -181,19 +181,19 @@
    * Records that bytes arrived from the member, for any call. Returns true if
    * the member was on probation, which these bytes end.
    */
-  bool NoteHeard(std::string_view aId);
+  bool NoteResponse(std::string_view aId);
   /**
    * Records that no connection to the member could be opened in time, or that
    * the member acknowledged none of the data sent on a connection. The member
    * is ejected; afterwards one call at a time probes it.
    */
-  void NoteOutOfReach(std::string_view aId, Instant aNow);
+  void NoteUnreachable(std::string_view aId, Instant aNow);
   /**
    * Returns whether the member is unresponsive: it has left a call unanswered
    * for longer than its response time-out, or it is on probation and a probing
    * call is unanswered.
    */
-  bool IsSilent(std::string_view aId, Instant aNow) const;
+  bool IsUnresponsive(std::string_view aId, Instant aNow) const;
   /**
    * Returns whether a call to the member should open a new connection, because
    * the pooled connections may be the ones that no longer respond.
@@ -210,7 +210,7 @@
                  AttemptEnd aEnd,
                  Duration aTook,
                  Instant aNow);
-  void NotePace(const PaceSample& aSample);
+  void NoteThroughput(const ThroughputSample& aSample);
   /**
    * Records that the first token of a prompt arrived after `aTook`, where the
    * placement had estimated `aExpectedMs`.
@@ -236,7 +236,8 @@
    * list shows them. An empty vector means that the instance has none or has
    * ended.
    */
-  void SetNews(const std::string& aInstance, std::vector<PartNewsOf> aNews);
+  void SetRoleUpdates(const std::string& aInstance,
+                      std::vector<MemberRoleUpdate> aNews);
   /**
    * Returns the listed engines of a service, as input for planning their roles.
    */
@@ -245,61 +246,62 @@
    * Returns whether some member is in its grace period, that is, its row may
    * only have expired.
    */
-  bool HasLapsed() const;
+  bool HasMemberInGracePeriod() const;
   /**
    * Returns whether prompts may be prefilled on engines that decode (colocated
    * prefill). False if this instance has found that the engines cannot sustain
    * it, if enough other instances have, or if it was found before this process
    * started.
    */
-  bool ReadsBeside(std::string_view aService) const;
+  bool AllowsColocatedPrefill(std::string_view aService) const;
   /**
    * Returns the `ShortHash` of each service whose engines this instance itself
    * has found unable to sustain colocated prefill.
    */
-  std::vector<std::uint32_t> OwnApart() const;
+  std::vector<std::uint32_t> OwnDisaggregatedServices() const;
   /**
-   * Returns `OwnApart()` together with the restored findings, for other
-   * instances: most of them do not read the restored findings themselves.
+   * Returns `OwnDisaggregatedServices()` together with the restored findings,
+   * for other instances: most of them do not read the restored findings
+   * themselves.
    */
-  std::vector<std::uint32_t> ToldApart() const;
+  std::vector<std::uint32_t> ReportedDisaggregatedServices() const;
   /**
    * Replaces the services whose engines instance `aInstance` has found unable
    * to sustain colocated prefill. An empty vector means that the instance has
    * found none or has ended.
    */
-  void SetApart(const std::string& aInstance,
-                std::vector<std::uint32_t> aServices);
+  void SetDisaggregatedServices(const std::string& aInstance,
+                                std::vector<std::uint32_t> aServices);
   /** Sets the findings that were made before this process started. */
-  void RecallApart(std::vector<std::uint32_t> aServices);
+  void RestoreDisaggregatedServices(std::vector<std::uint32_t> aServices);
   /**
    * Returns the number of decode engines that the running output of a service
    * keeps busy.
    */
-  double GeneratorsNeeded(std::string_view aService,
-                          const EngineTraits& aTraits) const;
+  double DecodeEnginesNeeded(std::string_view aService,
+                             const EngineTraits& aTraits) const;
 
   /**
    * Replaces the calls that instance `aInstance` has in flight. An empty vector
    * means that the instance has ended.
    */
-  void SetOther(const std::string& aInstance, std::vector<OtherLoad> aLoads);
+  void SetPeerLoads(const std::string& aInstance, std::vector<PeerLoad> aLoads);
   /**
    * Records that this or another instance sent a prompt to engine `aId` for
    * prefill; its prefix segments count as cached there from now on.
    */
-  void NoteRead(const Prompt& aPrompt, std::string_view aId, Instant aNow);
-  void NoteKept(const KeptPart& aPart, Instant aNow);
+  void NotePrefill(const Prompt& aPrompt, std::string_view aId, Instant aNow);
+  void NoteCached(const CachedSegment& aPart, Instant aNow);
   /**
    * Returns the segments that this instance's own calls had prefilled less than
    * `aSince` ago, for announcement to other instances.
    */
-  std::vector<KeptPart> OwnReads(Instant aNow, Duration aSince) const;
+  std::vector<CachedSegment> OwnPrefills(Instant aNow, Duration aSince) const;
   /**
    * Returns the calls that this instance has in flight, for announcement to
    * other instances.
    */
-  std::vector<OtherLoad> OwnLoads() const;
+  std::vector<PeerLoad> OwnLoads() const;
   static std::uint32_t ShortHash(std::string_view aId);
 
   /** Returns null if no such member is known. */
@@ -309,14 +311,14 @@
    * Returns the tokens that an engine has to prefill for the prompt. `aKept`
    * tells whether the engine is assumed to have the shared prefix cached.
    */
-  static std::int64_t TokensToRead(const Prompt& aPrompt, bool aKept);
+  static std::int64_t TokensToPrefill(const Prompt& aPrompt, bool aKept);
   /**
    * Returns the cost of prefilling the last `aTokens` tokens of a prompt,
    * including attention: a token costs more, the more tokens stand before it.
    * The unit is the cost of a token without any before it.
    */
   static std::int64_t WorkOf(const Prompt& aPrompt, std::int64_t aTokens);
-  static std::int64_t WorkToRead(const Prompt& aPrompt, bool aKept);
+  static std::int64_t WorkToPrefill(const Prompt& aPrompt, bool aKept);
   /**
    * Returns the work to prefill the prompt at a member, given what is assumed
    * to be cached there.
@@ -328,7 +330,7 @@
    * Returns whether the member is the affinity target of the prompt, so that
    * the prompt's shared prefix is assumed to be cached there.
    */
-  bool IsHome(const Prompt& aPrompt, std::string_view aId) const;
+  bool HasPrefixAffinity(const Prompt& aPrompt, std::string_view aId) const;
 
 private:
   struct State
@@ -338,7 +340,7 @@
      * is one.
      */
     Member m_member;
-    Part m_listedPart = Part::Whole;
+    UpstreamRole m_listedRole = UpstreamRole::Plain;
     /** Whether the engine is changing roles and accepts no new calls. */
     bool m_changing = false;
     std::uint64_t m_hash = 0;
@@ -347,37 +349,37 @@
      * Prompt tokens of this instance's calls that are still to be prefilled.
      */
     std::int64_t m_tokens = 0;
-    std::int64_t m_othersInFlight = 0;
-    std::int64_t m_othersTokens = 0;
+    std::int64_t m_peerInFlight = 0;
+    std::int64_t m_peerTokens = 0;
     double m_tookMs = 0; ///< Smoothed duration of served plain calls, in ms.
     /**
      * Smoothed throughput that calls observe, over all samples; 0 if there is
      * none. It includes the effect of queued work that this instance does not
      * know of, and of concurrent decoding.
      */
-    double m_metPace = 0;
+    double m_observedThroughput = 0;
     /** Throughput of the engine itself, from clean samples. */
-    MedianPace m_pace;
+    MedianThroughput m_throughput;
     /**
      * Throughput of engines of the same service and role; 0 if none is known.
      */
-    double m_kindPace = 0;
+    double m_roleThroughput = 0;
     double m_failShare = 0; ///< Smoothed share of attempts that failed.
     int m_failuresInRow = 0;
     int m_declinesInRow = 0;
     /** Duration of the next ejection. */
-    Duration m_rest = kRest;
-    std::optional<Instant> m_restsUntil;
+    Duration m_nextEjectionTime = kEjectionTime;
+    std::optional<Instant> m_ejectedUntil;
     /**
      * When the member was sent the oldest call since it last sent any byte;
      * empty if nothing is awaited from it.
      */
-    std::optional<Instant> m_unheardSince;
+    std::optional<Instant> m_unansweredSince;
     /**
      * Whether the member is on probation: it failed without sending anything,
      * and gets only one call at a time until it responds.
      */
-    bool m_mustProve = false;
+    bool m_isOnProbation = false;
     /** When the grace period of a member that is no longer listed ends. */
     std::optional<Instant> m_goneAt;
   };
@@ -390,19 +392,19 @@
   {
     const State* m_state = nullptr;
     double m_ms = 0;
-    bool m_isHome = false;
+    bool m_hasAffinity = false;
     /** Time to prefill the prompt itself, including a KV transfer, in ms. */
-    double m_readMs = 0;
+    double m_prefillMs = 0;
     double m_typicalMs = 0;  ///< The same for a typical prompt, in ms.
     std::int64_t m_work = 0; ///< Work to prefill the prompt itself.
     /** Engine that this one fetches KV cache entries from, or null. */
-    const State* m_donor = nullptr;
+    const State* m_transferSource = nullptr;
     bool operator<(const Candidate& aOther) const { return m_ms < aOther.m_ms; }
     /**
      * Returns the time that the prompt waits before its own prefill starts, in
      * milliseconds.
      */
-    double WaitMs() const { return m_ms - m_readMs; }
+    double WaitMs() const { return m_ms - m_prefillMs; }
     /**
      * Returns when a typical prompt's first token would arrive, in
      * milliseconds.
@@ -413,9 +415,9 @@
   bool MayServe(const State& aState,
                 const PlaceRequest& aRequest,
                 Instant aNow) const;
-  static Duration SilenceOf(const State& aState);
-  static bool IsSilent(const State& aState, Instant aNow);
-  static void Rest(State& aState, Instant aNow);
+  static Duration ResponseTimeoutOf(const State& aState);
+  static bool IsUnresponsive(const State& aState, Instant aNow);
+  static void Eject(State& aState, Instant aNow);
   static bool HasConnection(const State& aState, const PlaceRequest& aRequest);
   PlaceResult FindPlain(std::span<const State* const> aSound,
                         const PlaceRequest& aRequest) const;
@@ -427,46 +429,48 @@
    * prefill. Returns std::nullopt if no engine can prefill the prompt or none
    * can decode it.
    */
-  std::optional<PlaceResult> FindReader(std::span<const State* const> aSound,
-                                        const PlaceRequest& aRequest,
-                                        Instant aNow) const;
+  std::optional<PlaceResult> FindPrefillEngine(
+    std::span<const State* const> aSound,
+    const PlaceRequest& aRequest,
+    Instant aNow) const;
   /**
    * Returns the engines that may prefill a prompt if the service does not allow
    * colocated prefill: those in the prefill role, and decode engines for which
    * the prompt is short enough.
    */
-  std::vector<Candidate> ReadersFor(std::span<const State* const> aSound,
-                                    const PlaceRequest& aRequest,
-                                    Instant aNow) const;
+  std::vector<Candidate> PrefillCandidates(std::span<const State* const> aSound,
+                                           const PlaceRequest& aRequest,
+                                           Instant aNow) const;
   /**
    * Returns whether a typical prompt would miss its first-token target at the
-   * engine. `aStretch` is the factor from `StretchOf`.
+   * engine. `aErrorFactor` is the factor from `EstimateErrorOf`.
    */
-  static bool IsLate(const Candidate& aReader,
+  static bool IsLate(const Candidate& aPrefillEngine,
                      const PlaceRequest& aRequest,
-                     double aStretch);
+                     double aErrorFactor);
   /**
    * Returns whether little enough work waits at the engine for the prompt to be
    * sent there.
    */
-  static bool HasRoom(const Candidate& aReader,
+  static bool HasRoom(const Candidate& aPrefillEngine,
                       const PlaceRequest& aRequest,
-                      double aStretch);
+                      double aErrorFactor);
   /**
    * Returns the result for a prompt that no engine has room for: `PlaceLater`
    * if the caller will still wait long enough, otherwise a fault.
    */
   static PlaceResult NoRoomAt(const Candidate& aBest,
                               const PlaceRequest& aRequest,
-                              double aStretch);
-  static const Candidate& PickApart(std::span<const Candidate> aReaders,
-                                    const PlaceRequest& aRequest);
+                              double aErrorFactor);
+  static const Candidate& PickDisaggregated(
+    std::span<const Candidate> aPrefillEngines,
+    const PlaceRequest& aRequest);
   /**
-   * Returns the engine that decodes a prompt which `aReader` prefills, or null
-   * if there is none.
+   * Returns the engine that decodes a prompt which `aPrefillEngine` prefills,
+   * or null if there is none.
    */
-  static const State* PickTaker(const State& aReader,
-                                std::span<const State* const> aSound);
+  static const State* PickDecodeTarget(const State& aPrefillEngine,
+                                       std::span<const State* const> aSound);
   /**
    * Returns the typical prompt of the request's kind of call, or the prompt
    * itself if none is set. Precondition: the request has a prompt.
@@ -493,46 +497,48 @@
    * Chooses the engine that prefills the prompt. Precondition: `aCandidates` is
    * not empty.
    */
-  static const Candidate* PickReader(std::span<const Candidate> aCandidates,
-                                     const Candidate& aBest,
-                                     const PlaceRequest& aRequest);
+  static const Candidate* PickPrefillEngine(
+    std::span<const Candidate> aCandidates,
+    const Candidate& aBest,
+    const PlaceRequest& aRequest);
   /**
-   * Returns a place that prefills at `aReader` and decodes at the best decode
-   * engine. Precondition: at least one engine in `aSound` decodes.
+   * Returns a place that prefills at `aPrefillEngine` and decodes at the best
+   * decode engine. Precondition: at least one engine in `aSound` decodes.
    */
-  static Place WithTaker(const State& aReader,
-                         std::span<const State* const> aSound,
-                         const PlaceRequest& aRequest);
-  static double PaceOf(const State& aState);
+  static Place WithDecodeTarget(const State& aPrefillEngine,
+                                std::span<const State* const> aSound,
+                                const PlaceRequest& aRequest);
+  static double ThroughputOf(const State& aState);
   /**
    * Returns the estimated time to the first token after `aWork` more prefill
-   * work at the engine, in milliseconds. `aPace` is the result of `MetPaceOf`
-   * if the service allows colocated prefill, otherwise that of `PaceOf`.
+   * work at the engine, in milliseconds. `aThroughput` is the result of
+   * `ObservedThroughputOf` if the service allows colocated prefill, otherwise
+   * that of `ThroughputOf`.
    */
   static double FirstTokenMs(const State& aState,
                              std::int64_t aWork,
-                             double aPace);
-  static double MetPaceOf(const State& aState);
+                             double aThroughput);
+  static double ObservedThroughputOf(const State& aState);
   /**
    * Returns how many tokens at the beginning of the prompt the member has
    * cached.
    */
-  std::int64_t TokensKept(const Prompt& aPrompt,
-                          const State& aState,
-                          Instant aNow) const;
+  std::int64_t TokensCached(const Prompt& aPrompt,
+                            const State& aState,
+                            Instant aNow) const;
   /**
    * Returns the work to prefill the prompt at an engine if the service does not
    * allow colocated prefill, from the prefix segments that are known to be
    * cached there.
    */
-  std::int64_t WorkApart(const Prompt& aPrompt,
-                         const State& aState,
-                         Instant aNow) const;
+  std::int64_t DisaggregatedWork(const Prompt& aPrompt,
+                                 const State& aState,
+                                 Instant aNow) const;
   /**
    * An engine from which others can fetch a cached prefix, and how many tokens
    * of the prompt it has cached.
    */
-  struct Donor
+  struct TransferSource
   {
     const State* m_state = nullptr;
     std::int64_t m_tokens = 0;
@@ -541,43 +547,48 @@
    * The engines with the most cached tokens of a prompt: overall and by data
    * centre.
    */
-  struct Donors
+  struct TransferSources
   {
-    Donor m_most;
-    std::map<std::string_view, Donor> m_byHall;
+    TransferSource m_most;
+    std::map<std::string_view, TransferSource> m_byHall;
   };
-  Donors FindDonors(const PlaceRequest& aRequest, Instant aNow) const;
+  TransferSources FindTransferSources(const PlaceRequest& aRequest,
+                                      Instant aNow) const;
   /**
    * Returns how long the work queued at a prefill engine may take, in
    * milliseconds, for a prompt to be sent there. `aTypicalMs` is the prefill
    * time of a typical prompt of the same kind, and `aLate` tells whether that
    * prompt would miss its target.
    */
-  static double MostAhead(const PlaceRequest& aRequest,
+  static double MaxWaitMs(const PlaceRequest& aRequest,
                           double aTypicalMs,
                           bool aLate);
   /**
    * Returns whether the prompt is short enough to be prefilled on a decode
    * engine of a service that does not allow colocated prefill in general.
    */
-  static bool FitsBeside(const PlaceRequest& aRequest, const State& aState);
-  static Candidate BesideAt(const PlaceRequest& aRequest, const State& aState);
-  Candidate ReaderFor(const PlaceRequest& aRequest,
-                      const State& aState,
-                      const Donors& aDonors,
-                      Instant aNow) const;
-  static bool IsQuiet(const State& aState, std::uint64_t aQuietBelow);
+  static bool FitsColocatedPrefill(const PlaceRequest& aRequest,
+                                   const State& aState);
+  static Candidate ColocatedCandidate(const PlaceRequest& aRequest,
+                                      const State& aState);
+  Candidate PrefillCandidate(const PlaceRequest& aRequest,
+                             const State& aState,
+                             const TransferSources& aSources,
+                             Instant aNow) const;
+  static bool IsReservedForDecode(const State& aState,
+                                  std::uint64_t aReservedBound);
   /**
    * Returns the hash below which decode engines are reserved for decoding and
    * for short prompts. With `aMost`, returns the bound for the largest number
    * of engines that may ever be reserved.
    */
-  std::uint64_t QuietBelow(std::string_view aService, bool aMost) const;
+  std::uint64_t ReservedHashBound(std::string_view aService, bool aMost) const;
   static bool HasFreeSlots(const State& aState);
-  std::uint64_t HomeOf(std::uint64_t aKey, std::string_view aService) const;
+  std::uint64_t AffinityTargetOf(std::uint64_t aKey,
+                                 std::string_view aService) const;
 
   /** The smoothed ratio of measured to expected first-token time. */
-  struct Stretch
+  struct EstimateError
   {
     double m_factor = 1;
     Instant m_at;
@@ -587,13 +598,14 @@
    */
   struct ServiceBelief
   {
-    ReadingBeside m_beside;
+    ColocatedPrefill m_colocatedPrefill;
     /** Smoothed KV cache size of a call, prompt and output, in tokens. */
     double m_heldTokens = 0;
-    MedianPace m_readers;
-    MedianPace m_generators;
+    MedianThroughput m_prefillThroughput;
+    MedianThroughput m_decodeThroughput;
   };
-  double StretchOf(std::string_view aService, const Prompt& aPrompt) const;
+  double EstimateErrorOf(std::string_view aService,
+                         const Prompt& aPrompt) const;
   /**
    * Returns whether the prompt's shared prefix is long enough for prefix
    * affinity. Long prompts are kept away from engines that are reserved for
@@ -604,14 +616,14 @@
   LifeOrder NoteLife(const Member& aMember);
   void ForgetLife(const std::string& aId);
   void Update(const Member& aMember);
-  void AddOther(std::span<const OtherLoad> aLoads, std::int64_t aSign);
-  void UseNews(State& aState);
+  void AddPeerLoads(std::span<const PeerLoad> aLoads, std::int64_t aSign);
+  void ApplyRoleUpdate(State& aState);
   /**
    * Returns the throughput assumed for an engine that has no samples of its
    * own, from other engines of the service; 0 if none is known.
    */
-  double KindPaceOf(const Member& aMember) const;
-  const PartNewsOf* NewsOf(std::uint32_t aMember) const;
+  double RoleThroughputOf(const Member& aMember) const;
+  const MemberRoleUpdate* FindRoleUpdate(std::uint32_t aMember) const;
 
   std::map<std::string, State, std::less<>> m_members;
   /**
@@ -620,17 +632,19 @@
    */
   std::unordered_map<std::string, std::int64_t> m_born;
   std::unordered_map<std::uint32_t, std::string> m_byShortHash;
-  std::map<std::string, std::vector<OtherLoad>, std::less<>> m_others;
-  std::map<std::string, std::vector<PartNewsOf>, std::less<>> m_news;
-  KeptParts m_kept;
-  std::map<std::string, std::vector<std::uint32_t>, std::less<>> m_apart;
-  std::vector<std::uint32_t> m_recalledApart;
-  std::deque<std::pair<Instant, KeptPart>> m_ownReads;
+  std::map<std::string, std::vector<PeerLoad>, std::less<>> m_peerLoads;
+  std::map<std::string, std::vector<MemberRoleUpdate>, std::less<>>
+    m_roleUpdates;
+  PrefixCacheIndex m_prefixCaches;
+  std::map<std::string, std::vector<std::uint32_t>, std::less<>>
+    m_peerDisaggregated;
+  std::vector<std::uint32_t> m_restoredDisaggregated;
+  std::deque<std::pair<Instant, CachedSegment>> m_ownPrefills;
   /** Keyed by service. */
   std::map<std::string, ServiceBelief, std::less<>> m_beliefs;
   /** Estimate errors by service, for long prompts and for short ones. */
-  std::map<std::string, Stretch, std::less<>> m_longStretch;
-  std::map<std::string, Stretch, std::less<>> m_shortStretch;
+  std::map<std::string, EstimateError, std::less<>> m_longPromptErrors;
+  std::map<std::string, EstimateError, std::less<>> m_shortPromptErrors;
 };
 
 } // namespace ridgeferry::relay
--- a/packages/relay/include/ridgeferry/relay/MedianPace.h
+++ b/packages/relay/include/ridgeferry/relay/MedianThroughput.h
@@ -12,14 +12,14 @@
  * prompts of other instances were queued ahead without this instance knowing,
  * or more of the prompt was cached than it assumed. Not thread-safe.
  */
-class MedianPace
+class MedianThroughput
 {
 public:
   static constexpr std::size_t kSamples = 9;
 
-  void Note(double aPace)
+  void Note(double aThroughput)
   {
-    m_samples[m_next] = aPace;
+    m_samples[m_next] = aThroughput;
     m_next = (m_next + 1) % kSamples;
     m_count = std::min(m_count + 1, kSamples);
     std::array<double, kSamples> sorted = m_samples;
@@ -29,7 +29,7 @@
     std::nth_element(sorted.begin(), middle, end);
     m_median = *middle;
   }
-  void Forget() { *this = MedianPace(); }
+  void Forget() { *this = MedianThroughput(); }
   std::size_t Count() const { return m_count; }
   /** Returns 0 before the first sample. */
   double Median() const { return m_median; }
--- a/packages/relay/include/ridgeferry/relay/Member.h
+++ b/packages/relay/include/ridgeferry/relay/Member.h
@@ -9,17 +9,17 @@
 namespace ridgeferry::relay {
 
 /** What an upstream does with a call. */
-enum class Part : std::uint8_t
+enum class UpstreamRole : std::uint8_t
 {
-  Whole, ///< A plain service, which handles the whole call.
+  Plain, ///< A plain service, which handles the whole call.
   /** An engine that only prefills prompts and hands over their KV cache. */
   Prefill,
-  Generate, ///< An engine that decodes, and can also prefill, but slowly.
+  Decode, ///< An engine that decodes, and can also prefill, but slowly.
 };
 
 /** Returns the role's name for logs: `whole`, `read` or `generate`. */
 std::string_view
-NameOf(Part aPart);
+NameOf(UpstreamRole aPart);
 
 /** An upstream as the list of the platform shows it. */
 struct Member
@@ -29,7 +29,7 @@
   std::string m_hall;
   std::string m_address; ///< IP:PORT.
   std::int64_t m_slots = 1;
-  Part m_part = Part::Whole;
+  UpstreamRole m_role = UpstreamRole::Plain;
   bool m_leaving = false;
   /** See `UpstreamLife::m_born`. */
   std::optional<std::int64_t> m_born = {};
--- a/packages/relay/include/ridgeferry/relay/Placement.h
+++ b/packages/relay/include/ridgeferry/relay/Placement.h
@@ -28,7 +28,7 @@
    * Admission bound: the call is refused if the first token of a typical prompt
    * would arrive later than this.
    */
-  Duration m_patience = Duration::max();
+  Duration m_admissionBound = Duration::max();
   /**
    * Whether the call may be admitted only because its prompt is smaller than a
    * typical one; see `SizeAllowance`.
@@ -76,7 +76,7 @@
 {
   std::string m_upstream;
   /** Engine that prefills the prompt; empty if `m_upstream` does. */
-  std::string m_reader;
+  std::string m_prefillEngine;
   /**
    * For a prompt, the estimated time to its first token, in milliseconds. The
    * estimate uses only loads and throughput, without the correction learned
--- a/packages/relay/include/ridgeferry/relay/KeptParts.h
+++ b/packages/relay/include/ridgeferry/relay/PrefixCacheIndex.h
@@ -7,11 +7,11 @@
 namespace ridgeferry::relay {
 
 /** A prefix segment that an engine was sent to prefill or to use. */
-struct KeptPart
+struct CachedSegment
 {
-  std::uint32_t m_part = 0;   ///< `PrefixSegment::m_key`.
-  std::uint32_t m_member = 0; ///< `Fleet::ShortHash` of the engine's id.
-  bool operator==(const KeptPart&) const = default;
+  std::uint32_t m_segment = 0; ///< `PrefixSegment::m_key`.
+  std::uint32_t m_member = 0;  ///< `Fleet::ShortHash` of the engine's id.
+  bool operator==(const CachedSegment&) const = default;
 };
 
 /**
@@ -28,7 +28,7 @@
  * still cached. This class only makes decisions and does no I/O. It is not
  * thread-safe.
  */
-class KeptParts
+class PrefixCacheIndex
 {
 public:
   /**
@@ -36,23 +36,23 @@
    * cache 470,000 tokens and prefill up to 60,000 a second. If a third of these
    * are new, the cache is replaced in about 20 s.
    */
-  static constexpr Duration kLife{ 20'000 };
+  static constexpr Duration kLifetime{ 20'000 };
 
   /**
    * The same for decode engines. Every call brings its whole prompt there, so
    * the cache is replaced in about 4 s.
    */
-  static constexpr Duration kLifeBesideOutput{ 4000 };
+  static constexpr Duration kDecodeLifetime{ 4000 };
 
-  void Note(const KeptPart& aPart, Instant aNow);
+  void Note(const CachedSegment& aPart, Instant aNow);
   /**
    * Returns whether the segment was used at the engine less than `aLife` ago.
-   * `aLife` must be `kLife` or `kLifeBesideOutput`.
+   * `aLife` must be `kLifetime` or `kDecodeLifetime`.
    */
-  bool IsKept(const KeptPart& aPart, Duration aLife, Instant aNow) const;
+  bool IsCached(const CachedSegment& aPart, Duration aLife, Instant aNow) const;
 
   /** Removes all segments of an engine that restarted with an empty cache. */
-  void ForgetMember(std::uint32_t aMember);
+  void ForgetEngine(std::uint32_t aMember);
 
 private:
   void Forget(Instant aNow);
--- a/packages/relay/include/ridgeferry/relay/Prompt.h
+++ b/packages/relay/include/ridgeferry/relay/Prompt.h
@@ -9,12 +9,12 @@
  * A segment of a prompt's prefix that other calls share, together with all
  * segments before it.
  */
-struct SharedPart
+struct PrefixSegment
 {
   /** Identifies this segment and all segments before it. */
   std::uint32_t m_key = 0;
   std::int64_t m_tokens = 0;
-  bool operator==(const SharedPart&) const = default;
+  bool operator==(const PrefixSegment&) const = default;
 };
 
 /**
@@ -36,7 +36,8 @@
    * many calls share that segment that every engine has it cached.
    */
   std::int64_t m_commonTokens = 0;
-  std::vector<SharedPart> m_parts = {}; ///< The prefix segments, in order.
+  std::vector<PrefixSegment>
+    m_prefixSegments = {}; ///< The prefix segments, in order.
 };
 
 } // namespace ridgeferry::relay
--- a/packages/relay/include/ridgeferry/relay/RelayFlow.h
+++ b/packages/relay/include/ridgeferry/relay/RelayFlow.h
@@ -35,7 +35,7 @@
   std::string m_upstream;
   /** Engine that prefills the prompt first and then transfers its KV cache to
    * `m_upstream`; empty if the prefill is not disaggregated. */
-  std::string m_reader;
+  std::string m_prefillEngine;
 };
 /** No upstream can accept the call now. */
 struct NoPlace
@@ -128,7 +128,7 @@
 struct SendRead
 {
   AttemptId m_attempt = 0;
-  std::string m_reader;
+  std::string m_prefillEngine;
   /** True if this is not the first prefill of the call; it then counts against
    * the retry budget. */
   bool m_repeat = false;
@@ -139,7 +139,7 @@
   AttemptId m_attempt = 0;
   std::string m_upstream;
   /** Engine that holds the KV cache of the prompt; empty if none does. */
-  std::string m_reader;
+  std::string m_prefillEngine;
   std::string m_handle; ///< Handle of that KV cache on the prefill engine.
   /** Id of the event after which the upstream must resume the stream; empty if
    * the request goes out as the caller sent it. */
@@ -161,7 +161,7 @@
 /** Releases the KV cache that a prefill engine still holds for this call. */
 struct FreeHandle
 {
-  std::string m_reader;
+  std::string m_prefillEngine;
   std::string m_handle;
 };
 /** Forwards the head of the current attempt's answer to the caller. */
@@ -349,7 +349,7 @@
    * upstream may resume the stream. */
   bool m_askingWhetherEnded = false;
   std::string m_upstream;
-  std::string m_reader;
+  std::string m_prefillEngine;
   std::string m_handle;
   std::vector<std::string> m_excluded;
   EventSplitter m_events;
--- a/packages/relay/include/ridgeferry/relay/PartDesk.h
+++ b/packages/relay/include/ridgeferry/relay/RoleChangeController.h
@@ -5,7 +5,7 @@
 #include <optional>
 #include <ridgeferry/base/Time.h>
 #include <ridgeferry/base/UpstreamLife.h>
-#include <ridgeferry/relay/PartPlan.h>
+#include <ridgeferry/relay/DecodePoolPlanner.h>
 #include <string>
 #include <variant>
 #include <vector>
@@ -18,7 +18,7 @@
  */
 struct EngineReport
 {
-  Part m_part = Part::Generate;
+  UpstreamRole m_role = UpstreamRole::Decode;
   bool m_changing = false; ///< The engine is carrying out an order.
   /** Number of orders accepted since the engine started. */
   std::int64_t m_ordersTaken = 0;
@@ -41,12 +41,12 @@
  * A role update for other instances, announced before the list of members shows
  * the role.
  */
-struct PartNews
+struct RoleUpdate
 {
   std::string m_engine;
   /** The new role, or empty while the engine changes roles. */
-  std::optional<Part> m_part;
-  bool operator==(const PartNews&) const = default;
+  std::optional<UpstreamRole> m_role;
+  bool operator==(const RoleUpdate&) const = default;
 };
 
 // Events.
@@ -55,14 +55,14 @@
  * Reports time passing. `m_mayOrder` tells whether this instance may send
  * orders; the caller checks it again right before each send.
  */
-struct DeskTick
+struct RoleChangeTick
 {
   bool m_mayOrder = false;
 };
 /** Requests that engines change roles. */
 struct ChangesWanted
 {
-  std::vector<PartChange> m_changes;
+  std::vector<EngineRoleChange> m_changes;
 };
 struct ReportCame
 {
@@ -80,8 +80,8 @@
 {
   std::string m_engine;
 };
-using DeskEvent =
-  std::variant<DeskTick, ChangesWanted, ReportCame, OrderAnswered, EngineGone>;
+using RoleChangeEvent = std::
+  variant<RoleChangeTick, ChangesWanted, ReportCame, OrderAnswered, EngineGone>;
 
 // Actions.
 
@@ -89,10 +89,10 @@
 {
   std::string m_engine;
 };
-struct SendPartOrder
+struct SendRoleOrder
 {
   std::string m_engine;
-  Part m_to = Part::Prefill;
+  UpstreamRole m_to = UpstreamRole::Prefill;
   /**
    * The number of orders that the engine must have accepted before; otherwise
    * it ignores this order.
@@ -103,9 +103,10 @@
  * Asks the caller to announce the changed result of `RoleUpdates()` to the
  * other instances now.
  */
-struct TellNews
+struct AnnounceRoleUpdates
 {};
-using DeskAction = std::variant<AskReport, SendPartOrder, TellNews>;
+using RoleChangeAction =
+  std::variant<AskReport, SendRoleOrder, AnnounceRoleUpdates>;
 
 /**
  * Carries out role changes of engines, with at most one open change per engine.
@@ -128,7 +129,7 @@
  * instance may order. It follows orders that were already sent to their end in
  * any case. This class is a pure state machine and is not thread-safe.
  */
-class PartDesk
+class RoleChangeController
 {
 public:
   /**
@@ -169,27 +170,28 @@
    * How long the role update of a finished change is announced. The engine's
    * heartbeat and the reading of the list together take up to three seconds.
    */
-  static constexpr Duration kNewsLife{ 4000 };
+  static constexpr Duration kRoleUpdateLifetime{ 4000 };
 
-  std::vector<DeskAction> Handle(const DeskEvent& aEvent, Instant aNow);
+  std::vector<RoleChangeAction> Handle(const RoleChangeEvent& aEvent,
+                                       Instant aNow);
 
   /**
    * Returns the engines whose role this controller knows before the list shows
    * it.
    */
-  std::vector<PartNews> News() const;
+  std::vector<RoleUpdate> RoleUpdates() const;
   /**
    * Returns the role that the engine is changing to, or std::nullopt if no
    * change is known here.
    */
-  std::optional<Part> TargetOf(const std::string& aEngine) const;
+  std::optional<UpstreamRole> TargetOf(const std::string& aEngine) const;
   /**
    * Returns whether no role change should be requested of the engine for now.
    */
   bool IsLeftAlone(const std::string& aEngine) const;
 
 private:
-  using Actions = std::vector<DeskAction>;
+  using Actions = std::vector<RoleChangeAction>;
 
   enum class Step : std::uint8_t
   {
@@ -207,7 +209,7 @@
   };
   struct Change
   {
-    Part m_to = Part::Prefill;
+    UpstreamRole m_to = UpstreamRole::Prefill;
     Step m_step = Step::Announced;
     Instant m_since; ///< When this step began.
     Instant m_asked; ///< When the last report was requested.
@@ -215,7 +217,7 @@
     std::optional<std::int64_t> m_born;
   };
 
-  void On(const DeskTick& aEvent, Instant aNow, Actions& aActions);
+  void On(const RoleChangeTick& aEvent, Instant aNow, Actions& aActions);
   void On(const ChangesWanted& aEvent, Instant aNow, Actions& aActions);
   void On(const ReportCame& aEvent, Instant aNow, Actions& aActions);
   void On(const OrderAnswered& aEvent, Instant aNow, Actions& aActions);
@@ -229,7 +231,7 @@
 
   bool m_mayOrder = false;
   /** Whether the event being handled changed the role updates. */
-  bool m_newsChanged = false;
+  bool m_roleUpdatesChanged = false;
   std::map<std::string, Change> m_changes;
 };
 
--- a/packages/relay/src/HomeScore.h
+++ b/packages/relay/src/AffinityScore.h
@@ -13,7 +13,7 @@
  * member's share of keys relative to a member of weight 1.
  */
 inline double
-HomeScore(std::uint64_t aKey, std::uint64_t aMember, double aWeight)
+AffinityScore(std::uint64_t aKey, std::uint64_t aMember, double aWeight)
 {
   const auto hash = static_cast<double>(RendezvousWeight(aKey, aMember));
   const auto range =
--- a/packages/relay/src/ReadingBeside.cpp
+++ b/packages/relay/src/ColocatedPrefill.cpp
@@ -1,4 +1,4 @@
-#include "ridgeferry/relay/ReadingBeside.h"
+#include "ridgeferry/relay/ColocatedPrefill.h"
 
 #include "Smoothing.h"
 
@@ -41,7 +41,7 @@
 } // namespace
 
 void
-ReadingBeside::NotePrompt(double aWork, Duration aPause)
+ColocatedPrefill::NotePrompt(double aWork, Duration aPause)
 {
   m_work = Blend(m_work, aWork, m_prompts, kPrompts);
   if (aPause.count() > 0) {
@@ -51,26 +51,26 @@
 }
 
 void
-ReadingBeside::NotePace(double aPace)
+ColocatedPrefill::NoteThroughput(double aThroughput)
 {
-  m_pace = Blend(m_pace, aPace, m_paces, kPaces);
+  m_throughput = Blend(m_throughput, aThroughput, m_paces, kPaces);
   Decide();
 }
 
 void
-ReadingBeside::NoteStream(bool aPaused)
+ColocatedPrefill::NoteStream(bool aPaused)
 {
   m_pausedShare = Blend(m_pausedShare, aPaused ? 1 : 0, m_streams, kStreams);
   Decide();
 }
 
 void
-ReadingBeside::Decide()
+ColocatedPrefill::Decide()
 {
   if (m_paces < kLeastPaces || m_pauseMs == 0) {
     return;
   }
-  const double share = m_work / m_pace / m_pauseMs;
+  const double share = m_work / m_throughput / m_pauseMs;
   const bool pauses = m_streams >= kLeastStreams && m_pausedShare > kMostPaused;
   if (share > kMostOfPause && pauses) {
     m_allowed = false;
--- a/packages/relay/src/HallLoads.cpp
+++ b/packages/relay/src/DataCentreLoads.cpp
@@ -1,4 +1,4 @@
-#include "ridgeferry/relay/HallLoads.h"
+#include "ridgeferry/relay/DataCentreLoads.h"
 
 #include <algorithm>
 #include <tuple>
@@ -8,7 +8,7 @@
 namespace ridgeferry::relay {
 
 void
-HallLoads::Set(const std::string& aInstance, std::vector<OtherLoad> aLoads)
+DataCentreLoads::Set(const std::string& aInstance, std::vector<PeerLoad> aLoads)
 {
   if (aLoads.empty()) {
     m_loads.erase(aInstance);
@@ -17,13 +17,13 @@
   }
 }
 
-std::vector<OtherLoad>
-HallLoads::Sum(std::span<const OtherLoad> aOwn, std::size_t aMost) const
+std::vector<PeerLoad>
+DataCentreLoads::Sum(std::span<const PeerLoad> aOwn, std::size_t aMost) const
 {
-  std::unordered_map<std::uint32_t, OtherLoad> sums;
-  const auto add = [&sums](std::span<const OtherLoad> aLoads) {
-    for (const OtherLoad& load : aLoads) {
-      OtherLoad& sum = sums[load.m_member];
+  std::unordered_map<std::uint32_t, PeerLoad> sums;
+  const auto add = [&sums](std::span<const PeerLoad> aLoads) {
+    for (const PeerLoad& load : aLoads) {
+      PeerLoad& sum = sums[load.m_member];
       sum.m_member = load.m_member;
       sum.m_running += load.m_running;
       sum.m_tokens += load.m_tokens;
@@ -33,7 +33,7 @@
   for (const auto& [instance, loads] : m_loads) {
     add(loads);
   }
-  std::vector<OtherLoad> out;
+  std::vector<PeerLoad> out;
   out.reserve(sums.size());
   for (const auto& [member, sum] : sums) {
     out.push_back(sum);
--- a/packages/relay/src/PartPlan.cpp
+++ b/packages/relay/src/DecodePoolPlanner.cpp
@@ -1,4 +1,4 @@
-#include "ridgeferry/relay/PartPlan.h"
+#include "ridgeferry/relay/DecodePoolPlanner.h"
 
 #include <algorithm>
 #include <cmath>
@@ -15,7 +15,7 @@
  * of a data centre is replaced. Data centres with fewer than `kSmallHall`
  * engines keep one.
  */
-constexpr std::size_t kLeastGenerating = 2;
+constexpr std::size_t kMinDecodeEngines = 2;
 constexpr std::size_t kSmallHall = 6;
 /**
  * Decode engines become prefill engines only if there are more than the need
@@ -35,7 +35,7 @@
 std::size_t
 LeastKept(std::size_t aHall)
 {
-  return aHall < kSmallHall ? 1 : kLeastGenerating;
+  return aHall < kSmallHall ? 1 : kMinDecodeEngines;
 }
 
 /**
@@ -53,8 +53,8 @@
 void
 Change(std::vector<const PlannedEngine*> aFrom,
        std::size_t aCount,
-       Part aTo,
-       std::vector<PartChange>& aChanges)
+       UpstreamRole aTo,
+       std::vector<EngineRoleChange>& aChanges)
 {
   std::erase_if(
     aFrom, [](const PlannedEngine* aEngine) { return aEngine->m_changes; });
@@ -70,18 +70,18 @@
 
 } // namespace
 
-std::vector<PartChange>
-PartPlanner::Plan(std::span<const PlannedEngine> aEngines,
-                  double aNeeded,
-                  Instant aNow)
+std::vector<EngineRoleChange>
+DecodePoolPlanner::Plan(std::span<const PlannedEngine> aEngines,
+                        double aNeeded,
+                        Instant aNow)
 {
   std::map<std::string, HallEngines> halls;
   for (const PlannedEngine& engine : aEngines) {
     HallEngines& hall = halls[engine.m_hall];
-    const bool reads = engine.m_part == Part::Prefill;
+    const bool reads = engine.m_role == UpstreamRole::Prefill;
     (reads ? hall.m_reading : hall.m_generating).push_back(&engine);
   }
-  std::vector<PartChange> out;
+  std::vector<EngineRoleChange> out;
   for (const auto& [name, hall] : halls) {
     const std::size_t now = hall.m_generating.size();
     const double share =
@@ -97,9 +97,9 @@
       if (aNow - since < kShortFor) {
         continue;
       }
-      Change(hall.m_reading, least - now, Part::Generate, out);
+      Change(hall.m_reading, least - now, UpstreamRole::Decode, out);
     } else if (now > most) {
-      Change(hall.m_generating, now - most, Part::Prefill, out);
+      Change(hall.m_generating, now - most, UpstreamRole::Prefill, out);
     }
   }
   return out;
--- a/packages/relay/src/EnginePace.h
+++ b/packages/relay/src/EngineThroughput.h
@@ -13,20 +13,20 @@
  * Throughput assumed until a sample was measured, in tokens per ms, for current
  * engines.
  */
-inline constexpr double kPrefillPace = 250;
-inline constexpr double kGeneratePace = 125;
+inline constexpr double kPrefillThroughput = 250;
+inline constexpr double kDecodeThroughput = 125;
 
 /** Decode engines prefill at half the speed of prefill engines. */
-inline constexpr double kGenerateReadCost = 2.0;
+inline constexpr double kDecodeEnginePrefillCost = 2.0;
 
 /**
  * Returns the throughput assumed for an engine of that role until a sample was
  * measured, in tokens per ms.
  */
 inline double
-UnseenPace(Part aPart)
+DefaultThroughput(UpstreamRole aPart)
 {
-  return aPart == Part::Generate ? kGeneratePace : kPrefillPace;
+  return aPart == UpstreamRole::Decode ? kDecodeThroughput : kPrefillThroughput;
 }
 
 } // namespace ridgeferry::relay
--- a/packages/relay/src/Fleet.cpp
+++ b/packages/relay/src/Fleet.cpp
@@ -1,6 +1,6 @@
 #include "ridgeferry/relay/Fleet.h"
 
-#include "EnginePace.h"
+#include "EngineThroughput.h"
 
 #include <algorithm>
 #include <cmath>
@@ -21,23 +21,23 @@
  * work of a usable sample. With less work the network round trip takes more of
  * the time than the prefill.
  */
-constexpr double kLowestPace = 10;
-constexpr double kHighestPace = 2000;
+constexpr double kMinThroughput = 10;
+constexpr double kMaxThroughput = 2000;
 constexpr std::int64_t kLeastPaceTokens = 1500;
 /**
  * Time constant for smoothing estimate errors. A load peak rises within half a
  * second, and its end should be noticed as quickly.
  */
-constexpr Duration kStretchMemory{ 500 };
+constexpr Duration kEstimateErrorMemory{ 500 };
 /**
  * Bounds of the estimate error, and the least expected time that it is computed
  * from: network round trips alone take some milliseconds.
  */
-constexpr double kLeastStretch = 0.7;
-constexpr double kMostStretch = 6;
+constexpr double kMinEstimateError = 0.7;
+constexpr double kMaxEstimateError = 6;
 constexpr double kLeastExpectedMs = 20;
 /** Maximum weight of a single first token in the estimate error. */
-constexpr double kMostStretchWeight = 0.5;
+constexpr double kMaxEstimateErrorWeight = 0.5;
 
 double
 Smooth(double aOld, double aNew)
@@ -69,8 +69,8 @@
 {
   const std::uint32_t hash = ShortHash(aId);
   m_members.erase(aId);
-  m_kept.ForgetMember(hash);
-  std::erase_if(m_ownReads, [hash](const auto& aRead) {
+  m_prefixCaches.ForgetEngine(hash);
+  std::erase_if(m_ownPrefills, [hash](const auto& aRead) {
     return aRead.second.m_member == hash;
   });
 }
@@ -97,8 +97,8 @@
   const bool leaves = state.m_member.m_leaving || aMember.m_leaving;
   state.m_member = aMember;
   state.m_member.m_leaving = leaves;
-  state.m_listedPart = aMember.m_part;
-  UseNews(state);
+  state.m_listedRole = aMember.m_role;
+  ApplyRoleUpdate(state);
   state.m_hash = Hash64(aMember.m_id);
   m_byShortHash[ShortHash(aMember.m_id)] = aMember.m_id;
   state.m_goneAt.reset();
@@ -106,11 +106,11 @@
     return;
   }
   const std::uint32_t hash = ShortHash(aMember.m_id);
-  for (const auto& [instance, loads] : m_others) {
-    for (const OtherLoad& load : loads) {
+  for (const auto& [instance, loads] : m_peerLoads) {
+    for (const PeerLoad& load : loads) {
       if (load.m_member == hash) {
-        state.m_othersInFlight += load.m_running;
-        state.m_othersTokens += load.m_tokens;
+        state.m_peerInFlight += load.m_running;
+        state.m_peerTokens += load.m_tokens;
       }
     }
   }
@@ -132,7 +132,7 @@
 }
 
 void
-Fleet::BoundGraces(std::string_view aHall, Instant aUntil)
+Fleet::BoundGracePeriods(std::string_view aHall, Instant aUntil)
 {
   for (auto& [id, state] : m_members) {
     if (state.m_goneAt && state.m_member.m_hall == aHall) {
@@ -175,32 +175,32 @@
 }
 
 void
-Fleet::AddOther(std::span<const OtherLoad> aLoads, std::int64_t aSign)
+Fleet::AddPeerLoads(std::span<const PeerLoad> aLoads, std::int64_t aSign)
 {
-  for (const OtherLoad& load : aLoads) {
+  for (const PeerLoad& load : aLoads) {
     const auto id = m_byShortHash.find(load.m_member);
     if (id == m_byShortHash.end()) {
       continue; // The member is not listed here yet.
     }
     const auto found = m_members.find(id->second);
     if (found != m_members.end()) {
-      found->second.m_othersInFlight += aSign * load.m_running;
-      found->second.m_othersTokens += aSign * load.m_tokens;
+      found->second.m_peerInFlight += aSign * load.m_running;
+      found->second.m_peerTokens += aSign * load.m_tokens;
     }
   }
 }
 
 void
-Fleet::SetOther(const std::string& aInstance, std::vector<OtherLoad> aLoads)
+Fleet::SetPeerLoads(const std::string& aInstance, std::vector<PeerLoad> aLoads)
 {
-  const auto known = m_others.find(aInstance);
-  if (known != m_others.end()) {
-    AddOther(known->second, -1);
-    m_others.erase(known);
+  const auto known = m_peerLoads.find(aInstance);
+  if (known != m_peerLoads.end()) {
+    AddPeerLoads(known->second, -1);
+    m_peerLoads.erase(known);
   }
   if (!aLoads.empty()) {
-    AddOther(aLoads, 1);
-    m_others.emplace(aInstance, std::move(aLoads));
+    AddPeerLoads(aLoads, 1);
+    m_peerLoads.emplace(aInstance, std::move(aLoads));
   }
 }
 
@@ -214,15 +214,15 @@
     aPrompt.m_sharedTokens + aPrompt.m_ownTokens + aPrompt.m_outTokens);
   belief.m_heldTokens = Smooth(belief.m_heldTokens, held);
   if (IsLong(aPrompt)) {
-    belief.m_beside.NotePrompt(static_cast<double>(WorkToRead(aPrompt, false)),
-                               aPause);
+    belief.m_colocatedPrefill.NotePrompt(
+      static_cast<double>(WorkToPrefill(aPrompt, false)), aPause);
   }
 }
 
-std::vector<OtherLoad>
+std::vector<PeerLoad>
 Fleet::OwnLoads() const
 {
-  std::vector<OtherLoad> out;
+  std::vector<PeerLoad> out;
   for (const auto& [id, state] : m_members) {
     if (state.m_inFlight != 0 || state.m_tokens != 0) {
       out.push_back({ ShortHash(id), state.m_inFlight, state.m_tokens });
@@ -244,13 +244,14 @@
   const auto found = m_members.find(aId);
   return found == m_members.end()
            ? 0
-           : found->second.m_tokens + found->second.m_othersTokens;
+           : found->second.m_tokens + found->second.m_peerTokens;
 }
 
 double
-Fleet::StretchOf(std::string_view aService, const Prompt& aPrompt) const
+Fleet::EstimateErrorOf(std::string_view aService, const Prompt& aPrompt) const
 {
-  const auto& stretches = IsLong(aPrompt) ? m_longStretch : m_shortStretch;
+  const auto& stretches =
+    IsLong(aPrompt) ? m_longPromptErrors : m_shortPromptErrors;
   const auto found = stretches.find(aService);
   return found == stretches.end() ? 1 : found->second.m_factor;
 }
@@ -262,23 +263,23 @@
                       Duration aTook,
                       Instant aNow)
 {
-  auto& stretches = IsLong(aPrompt) ? m_longStretch : m_shortStretch;
-  Stretch& stretch = stretches[std::string(aService)];
+  auto& stretches = IsLong(aPrompt) ? m_longPromptErrors : m_shortPromptErrors;
+  EstimateError& stretch = stretches[std::string(aService)];
   const double seen = std::clamp(static_cast<double>(aTook.count()) /
                                    std::max(aExpectedMs, kLeastExpectedMs),
-                                 kLeastStretch,
-                                 kMostStretch);
+                                 kMinEstimateError,
+                                 kMaxEstimateError);
   const double age = static_cast<double>((aNow - stretch.m_at).count());
-  const double weight =
-    std::max(kNewest / 2,
-             1 - std::exp(-age / static_cast<double>(kStretchMemory.count())));
+  const double weight = std::max(
+    kNewest / 2,
+    1 - std::exp(-age / static_cast<double>(kEstimateErrorMemory.count())));
   stretch.m_factor +=
-    std::min(weight, kMostStretchWeight) * (seen - stretch.m_factor);
+    std::min(weight, kMaxEstimateErrorWeight) * (seen - stretch.m_factor);
   stretch.m_at = aNow;
 }
 
 void
-Fleet::NotePace(const PaceSample& aSample)
+Fleet::NoteThroughput(const ThroughputSample& aSample)
 {
   const auto found = m_members.find(aSample.m_engine);
   if (found == m_members.end() || aSample.m_work < kLeastPaceTokens) {
@@ -286,44 +287,46 @@
   }
   const double took =
     std::max(1.0, static_cast<double>(aSample.m_took.count()) - kFirstTokenMs);
-  const double pace = std::clamp(
-    static_cast<double>(aSample.m_work) / took, kLowestPace, kHighestPace);
+  const double throughput = std::clamp(
+    static_cast<double>(aSample.m_work) / took, kMinThroughput, kMaxThroughput);
   State& state = found->second;
   ServiceBelief& belief = m_beliefs[state.m_member.m_service];
-  const bool generates = state.m_member.m_part == Part::Generate;
+  const bool generates = state.m_member.m_role == UpstreamRole::Decode;
   if (generates) {
-    belief.m_beside.NotePace(pace);
+    belief.m_colocatedPrefill.NoteThroughput(throughput);
   }
-  state.m_metPace = Smooth(MetPaceOf(state), pace);
+  state.m_observedThroughput = Smooth(ObservedThroughputOf(state), throughput);
   if (!aSample.m_isClean) {
     return;
   }
-  state.m_pace.Note(pace);
-  (generates ? belief.m_generators : belief.m_readers).Note(pace);
+  state.m_throughput.Note(throughput);
+  (generates ? belief.m_decodeThroughput : belief.m_prefillThroughput)
+    .Note(throughput);
   for (auto& [id, other] : m_members) {
     if (other.m_member.m_service == state.m_member.m_service) {
-      other.m_kindPace = KindPaceOf(other.m_member);
+      other.m_roleThroughput = RoleThroughputOf(other.m_member);
     }
   }
 }
 
 double
-Fleet::KindPaceOf(const Member& aMember) const
+Fleet::RoleThroughputOf(const Member& aMember) const
 {
   const auto belief = m_beliefs.find(aMember.m_service);
   if (belief == m_beliefs.end()) {
     return 0;
   }
-  const bool generates = aMember.m_part == Part::Generate;
-  const MedianPace& own =
-    generates ? belief->second.m_generators : belief->second.m_readers;
-  const MedianPace& others =
-    generates ? belief->second.m_readers : belief->second.m_generators;
+  const bool generates = aMember.m_role == UpstreamRole::Decode;
+  const MedianThroughput& own = generates ? belief->second.m_decodeThroughput
+                                          : belief->second.m_prefillThroughput;
+  const MedianThroughput& others = generates
+                                     ? belief->second.m_prefillThroughput
+                                     : belief->second.m_decodeThroughput;
   if (own.Count() > 0) {
     return own.Median();
   }
-  return generates ? others.Median() / kGenerateReadCost
-                   : others.Median() * kGenerateReadCost;
+  return generates ? others.Median() / kDecodeEnginePrefillCost
+                   : others.Median() * kDecodeEnginePrefillCost;
 }
 
 void
@@ -336,75 +339,77 @@
   State& state = found->second;
   ++state.m_inFlight;
   state.m_tokens += aTokens;
-  if (!state.m_unheardSince) {
-    state.m_unheardSince = aNow;
+  if (!state.m_unansweredSince) {
+    state.m_unansweredSince = aNow;
   }
 }
 
 bool
-Fleet::NoteHeard(std::string_view aId)
+Fleet::NoteResponse(std::string_view aId)
 {
   const auto found = m_members.find(aId);
   if (found == m_members.end()) {
     return false;
   }
-  found->second.m_unheardSince.reset();
-  found->second.m_rest = kRest;
-  return std::exchange(found->second.m_mustProve, false);
+  found->second.m_unansweredSince.reset();
+  found->second.m_nextEjectionTime = kEjectionTime;
+  return std::exchange(found->second.m_isOnProbation, false);
 }
 
 void
-Fleet::NoteOutOfReach(std::string_view aId, Instant aNow)
+Fleet::NoteUnreachable(std::string_view aId, Instant aNow)
 {
   const auto found = m_members.find(aId);
   if (found != m_members.end()) {
-    Rest(found->second, aNow);
+    Eject(found->second, aNow);
   }
 }
 
 void
-Fleet::Rest(State& aState, Instant aNow)
+Fleet::Eject(State& aState, Instant aNow)
 {
-  if (aState.m_restsUntil && aNow < *aState.m_restsUntil &&
-      aState.m_mustProve) {
+  if (aState.m_ejectedUntil && aNow < *aState.m_ejectedUntil &&
+      aState.m_isOnProbation) {
     // Several calls to the member fail at the same time; only the first one
     // counts.
     return;
   }
-  aState.m_restsUntil = aNow + aState.m_rest;
-  if (aState.m_mustProve) {
-    aState.m_rest = std::min(aState.m_rest * 2, kLongestRest);
+  aState.m_ejectedUntil = aNow + aState.m_nextEjectionTime;
+  if (aState.m_isOnProbation) {
+    aState.m_nextEjectionTime =
+      std::min(aState.m_nextEjectionTime * 2, kMaxEjectionTime);
   }
-  aState.m_mustProve = true;
+  aState.m_isOnProbation = true;
 }
 
 Duration
-Fleet::SilenceOf(const State& aState)
+Fleet::ResponseTimeoutOf(const State& aState)
 {
-  if (aState.m_member.m_part == Part::Whole) {
-    return kSilence;
-  }
-  const auto waits =
-    static_cast<double>(aState.m_tokens + aState.m_othersTokens);
-  const double workMs = kSilenceOfWork * waits / PaceOf(aState);
-  return std::min(kSilence + Duration(std::llround(workMs)), kMostSilence);
+  if (aState.m_member.m_role == UpstreamRole::Plain) {
+    return kResponseTimeout;
+  }
+  const auto waits = static_cast<double>(aState.m_tokens + aState.m_peerTokens);
+  const double workMs =
+    kResponseTimeoutWorkFactor * waits / ThroughputOf(aState);
+  return std::min(kResponseTimeout + Duration(std::llround(workMs)),
+                  kMaxResponseTimeout);
 }
 
 bool
-Fleet::IsSilent(const State& aState, Instant aNow)
+Fleet::IsUnresponsive(const State& aState, Instant aNow)
 {
-  if (!aState.m_unheardSince) {
+  if (!aState.m_unansweredSince) {
     return false;
   }
-  return aState.m_mustProve ||
-         aNow - *aState.m_unheardSince >= SilenceOf(aState);
+  return aState.m_isOnProbation ||
+         aNow - *aState.m_unansweredSince >= ResponseTimeoutOf(aState);
 }
 
 bool
-Fleet::IsSilent(std::string_view aId, Instant aNow) const
+Fleet::IsUnresponsive(std::string_view aId, Instant aNow) const
 {
   const auto found = m_members.find(aId);
-  return found != m_members.end() && IsSilent(found->second, aNow);
+  return found != m_members.end() && IsUnresponsive(found->second, aNow);
 }
 
 bool
@@ -412,7 +417,7 @@
 {
   const auto found = m_members.find(aId);
   return found != m_members.end() &&
-         (found->second.m_mustProve || IsSilent(found->second, aNow));
+         (found->second.m_isOnProbation || IsUnresponsive(found->second, aNow));
 }
 
 void
@@ -442,28 +447,28 @@
   // the counts must not become negative.
   state.m_inFlight = std::max<std::int64_t>(0, state.m_inFlight - 1);
   state.m_tokens = std::max<std::int64_t>(0, state.m_tokens - aTokens);
-  const bool silent = IsSilent(state, aNow);
+  const bool silent = IsUnresponsive(state, aNow);
   if (state.m_inFlight == 0) {
     // No call to the member is unanswered any more.
-    state.m_unheardSince.reset();
+    state.m_unansweredSince.reset();
   }
-  const bool rests = silent && aEnd != AttemptEnd::Displaced;
-  if (rests) {
-    Rest(state, aNow);
+  const bool isEjected = silent && aEnd != AttemptEnd::Displaced;
+  if (isEjected) {
+    Eject(state, aNow);
   }
   if (aEnd == AttemptEnd::Declined) {
-    if (++state.m_declinesInRow < kDeclinesToRest) {
-      return rests;
+    if (++state.m_declinesInRow < kDeclinesToEject) {
+      return isEjected;
     }
     state.m_declinesInRow = 0;
-    state.m_restsUntil = aNow + kDeclinedRest;
+    state.m_ejectedUntil = aNow + kDeclinedEjectionTime;
     return true;
   }
   if (aEnd == AttemptEnd::Abandoned) {
-    return rests;
+    return isEjected;
   }
   if (aEnd == AttemptEnd::Displaced) {
-    state.m_restsUntil = aNow + kDisplacedRest;
+    state.m_ejectedUntil = aNow + kMisdirectedEjectionTime;
     return true;
   }
   const bool failed = aEnd == AttemptEnd::Failed;
@@ -472,12 +477,12 @@
     state.m_failuresInRow = 0;
     state.m_declinesInRow = 0;
     state.m_tookMs = Smooth(state.m_tookMs, static_cast<double>(aTook.count()));
-    return rests;
+    return isEjected;
   }
-  if (++state.m_failuresInRow < kFailuresToRest) {
-    return rests;
+  if (++state.m_failuresInRow < kFailuresToEject) {
+    return isEjected;
   }
-  state.m_restsUntil = aNow + kRest;
+  state.m_ejectedUntil = aNow + kEjectionTime;
   state.m_failuresInRow = 0;
   return true;
 }
--- a/packages/relay/src/FleetPlacement.cpp
+++ b/packages/relay/src/FleetPlacement.cpp
@@ -1,8 +1,8 @@
 // The part of `Fleet` that chooses the upstream of a call.
 
+#include "AffinityScore.h"
 #include "DrawnChoice.h"
-#include "EnginePace.h"
-#include "HomeScore.h"
+#include "EngineThroughput.h"
 
 #include <algorithm>
 #include <cmath>
@@ -28,8 +28,8 @@
  * Bounds of the share of decode engines that are reserved: they prefill no long
  * prompts, so that they produce output steadily.
  */
-constexpr double kLeastQuietShare = 0.12;
-constexpr double kMostQuietShare = 0.45;
+constexpr double kMinReservedShare = 0.12;
+constexpr double kMaxReservedShare = 0.45;
 /**
  * An engine counts as full above this share of its slots, because the calls
  * that other instances have sent in the meantime are not known yet.
@@ -40,13 +40,13 @@
  * reserved. The contexts of more calls would slow each decode step so much that
  * the longest outputs would finish too late.
  */
-constexpr double kMostSteady = 40;
+constexpr double kMaxReservedCalls = 40;
 /**
  * How much later than on the best engine a prompt's first token may arrive on
  * its affinity target, in ms. The shared prefix cached there need not be
  * prefilled, which saves time for every prompt that waits there.
  */
-constexpr double kHomeSlackMs = 100;
+constexpr double kAffinitySlackMs = 100;
 /**
  * How much later than on the best known engine the first token may arrive on a
  * randomly drawn prefill engine, in ms.
@@ -58,12 +58,12 @@
  * transfer takes twice as long to get there and uses links that all data
  * centres share.
  */
-constexpr double kAwayTakerMs = 5;
+constexpr double kRemoteDecodePenaltyMs = 5;
 /**
  * How much later than on the best decode engine the output may begin on a
  * randomly drawn one, in ms: one or two decode steps.
  */
-constexpr double kMostTakerMs = 8;
+constexpr double kMaxDrawnDecodeMs = 8;
 /** Assumed duration of a plain call before any was measured, in ms. */
 constexpr double kUnknownTookMs = 10;
 /**
@@ -91,7 +91,7 @@
  * Number of clean samples from which on an engine's own throughput is used
  * instead of that of other engines of its role.
  */
-constexpr std::size_t kLeastOwnPaces = 4;
+constexpr std::size_t kMinOwnSamples = 4;
 /**
  * Divisor that derives a second draw from a random number. It is a prime
  * greater than the square of the number of engines of a service.
@@ -104,15 +104,15 @@
 constexpr std::int64_t kLeastSharedTokens = 512;
 
 double
-HomeWeight(Part aPart)
+AffinityWeight(UpstreamRole aPart)
 {
-  return aPart == Part::Prefill ? kGenerateReadCost : 1;
+  return aPart == UpstreamRole::Prefill ? kDecodeEnginePrefillCost : 1;
 }
 
 } // namespace
 
 std::int64_t
-Fleet::TokensToRead(const Prompt& aPrompt, bool aKept)
+Fleet::TokensToPrefill(const Prompt& aPrompt, bool aKept)
 {
   const std::int64_t shared = aPrompt.m_sharedTokens - aPrompt.m_commonTokens;
   return aPrompt.m_ownTokens + (aKept ? 0 : shared);
@@ -130,9 +130,9 @@
 }
 
 std::int64_t
-Fleet::WorkToRead(const Prompt& aPrompt, bool aKept)
+Fleet::WorkToPrefill(const Prompt& aPrompt, bool aKept)
 {
-  return WorkOf(aPrompt, TokensToRead(aPrompt, aKept));
+  return WorkOf(aPrompt, TokensToPrefill(aPrompt, aKept));
 }
 
 const Prompt&
@@ -148,13 +148,14 @@
 }
 
 bool
-Fleet::IsHome(const Prompt& aPrompt, std::string_view aId) const
+Fleet::HasPrefixAffinity(const Prompt& aPrompt, std::string_view aId) const
 {
   const auto found = m_members.find(aId);
   if (found == m_members.end() || !IsLong(aPrompt)) {
     return false;
   }
-  return HomeOf(aPrompt.m_sharedKey, found->second.m_member.m_service) ==
+  return AffinityTargetOf(aPrompt.m_sharedKey,
+                          found->second.m_member.m_service) ==
          found->second.m_hash;
 }
 
@@ -163,29 +164,29 @@
 {
   const auto found = m_members.find(aId);
   if (found != m_members.end() &&
-      !ReadsBeside(found->second.m_member.m_service)) {
-    return WorkApart(aPrompt, found->second, aNow);
+      !AllowsColocatedPrefill(found->second.m_member.m_service)) {
+    return DisaggregatedWork(aPrompt, found->second, aNow);
   }
-  return WorkToRead(aPrompt, IsHome(aPrompt, aId));
+  return WorkToPrefill(aPrompt, HasPrefixAffinity(aPrompt, aId));
 }
 
 std::uint64_t
-Fleet::HomeOf(std::uint64_t aKey, std::string_view aService) const
+Fleet::AffinityTargetOf(std::uint64_t aKey, std::string_view aService) const
 {
   // Each key has one affinity target, so the engines' caches together hold the
   // hot prefixes about once. Engines that may be reserved for decoding at some
   // time are never a target, so that targets do not move when the number of
   // reserved engines changes.
-  const std::uint64_t quietBelow = QuietBelow(aService, true);
+  const std::uint64_t reservedBound = ReservedHashBound(aService, true);
   double best = -1;
   std::uint64_t home = 0;
   for (const auto& [id, state] : m_members) {
     if (state.m_member.m_service != aService || state.m_member.m_leaving ||
-        IsQuiet(state, quietBelow)) {
+        IsReservedForDecode(state, reservedBound)) {
       continue;
     }
     const double score =
-      HomeScore(aKey, state.m_hash, HomeWeight(state.m_member.m_part));
+      AffinityScore(aKey, state.m_hash, AffinityWeight(state.m_member.m_role));
     if (score > best) {
       best = score;
       home = state.m_hash;
@@ -203,10 +204,10 @@
   const bool excluded = std::find(aRequest.m_excluded.begin(),
                                   aRequest.m_excluded.end(),
                                   member.m_id) != aRequest.m_excluded.end();
-  const bool rests = aState.m_restsUntil && aNow < *aState.m_restsUntil;
+  const bool isEjected = aState.m_ejectedUntil && aNow < *aState.m_ejectedUntil;
   const bool gone = aState.m_goneAt && aNow >= *aState.m_goneAt;
   return member.m_service == aRequest.m_service && !member.m_leaving &&
-         !excluded && !rests && !gone && !aState.m_changing;
+         !excluded && !isEjected && !gone && !aState.m_changing;
 }
 
 bool
@@ -227,7 +228,7 @@
     }
     if (!HasConnection(state, aRequest)) {
       anyBusy = true;
-    } else if (IsSilent(state, aNow)) {
+    } else if (IsUnresponsive(state, aNow)) {
       silent.push_back(&state);
     } else {
       sound.push_back(&state);
@@ -260,7 +261,7 @@
     const double took =
       aState->m_tookMs == 0 ? kUnknownTookMs : aState->m_tookMs;
     const double busy =
-      static_cast<double>(aState->m_inFlight + aState->m_othersInFlight) + 1;
+      static_cast<double>(aState->m_inFlight + aState->m_peerInFlight) + 1;
     const bool away = aState->m_member.m_hall != aRequest.m_hall;
     return took * busy * (1 + kFailPenalty * aState->m_failShare) +
            (away ? kOtherHallMs : 0);
@@ -273,43 +274,45 @@
 }
 
 double
-Fleet::PaceOf(const State& aState)
+Fleet::ThroughputOf(const State& aState)
 {
-  if (aState.m_pace.Count() >= kLeastOwnPaces) {
-    return aState.m_pace.Median();
+  if (aState.m_throughput.Count() >= kMinOwnSamples) {
+    return aState.m_throughput.Median();
   }
-  return aState.m_kindPace > 0 ? aState.m_kindPace
-                               : UnseenPace(aState.m_member.m_part);
+  return aState.m_roleThroughput > 0
+           ? aState.m_roleThroughput
+           : DefaultThroughput(aState.m_member.m_role);
 }
 
 double
-Fleet::MetPaceOf(const State& aState)
+Fleet::ObservedThroughputOf(const State& aState)
 {
-  return aState.m_metPace > 0 ? aState.m_metPace
-                              : UnseenPace(aState.m_member.m_part);
+  return aState.m_observedThroughput > 0
+           ? aState.m_observedThroughput
+           : DefaultThroughput(aState.m_member.m_role);
 }
 
 double
-Fleet::FirstTokenMs(const State& aState, std::int64_t aWork, double aPace)
+Fleet::FirstTokenMs(const State& aState, std::int64_t aWork, double aThroughput)
 {
-  const bool generates = aState.m_member.m_part == Part::Generate;
+  const bool generates = aState.m_member.m_role == UpstreamRole::Decode;
   const auto work =
-    static_cast<double>(aState.m_tokens + aState.m_othersTokens + aWork);
+    static_cast<double>(aState.m_tokens + aState.m_peerTokens + aWork);
   const auto running =
-    static_cast<double>(aState.m_inFlight + aState.m_othersInFlight);
-  return kFirstTokenMs + work / aPace +
+    static_cast<double>(aState.m_inFlight + aState.m_peerInFlight);
+  return kFirstTokenMs + work / aThroughput +
          (generates ? kRunningMs * running : kHandOverMs);
 }
 
 bool
-Fleet::IsQuiet(const State& aState, std::uint64_t aQuietBelow)
+Fleet::IsReservedForDecode(const State& aState, std::uint64_t aReservedBound)
 {
-  return aState.m_member.m_part == Part::Generate &&
-         aState.m_hash < aQuietBelow;
+  return aState.m_member.m_role == UpstreamRole::Decode &&
+         aState.m_hash < aReservedBound;
 }
 
 std::uint64_t
-Fleet::QuietBelow(std::string_view aService, bool aMost) const
+Fleet::ReservedHashBound(std::string_view aService, bool aMost) const
 {
   // The reserved engines are those with the lowest hashes, as many as the
   // running calls need. All instances see nearly the same numbers and therefore
@@ -318,19 +321,19 @@
   std::int64_t running = 0;
   std::int64_t slots = 1;
   for (const auto& [id, state] : m_members) {
-    if (state.m_member.m_part == Part::Generate &&
+    if (state.m_member.m_role == UpstreamRole::Decode &&
         state.m_member.m_service == aService && !state.m_member.m_leaving) {
-      running += state.m_inFlight + state.m_othersInFlight;
+      running += state.m_inFlight + state.m_peerInFlight;
       slots = std::max(slots, state.m_member.m_slots);
       hashes.push_back(state.m_hash);
     }
   }
   const auto all = static_cast<double>(hashes.size());
   const double steady =
-    std::min(kMostSteady, kFullShare * static_cast<double>(slots));
+    std::min(kMaxReservedCalls, kFullShare * static_cast<double>(slots));
   const double wanted = std::ceil(static_cast<double>(running) / steady);
-  const double least = std::round(kLeastQuietShare * all);
-  const double most = std::round(kMostQuietShare * all);
+  const double least = std::round(kMinReservedShare * all);
+  const double most = std::round(kMaxReservedShare * all);
   const auto quiet = static_cast<std::size_t>(
     aMost ? most : std::clamp(wanted, least, std::max(least, most)));
   if (quiet >= hashes.size()) {
@@ -345,20 +348,21 @@
 Fleet::HasFreeSlots(const State& aState)
 {
   const auto running =
-    static_cast<double>(aState.m_inFlight + aState.m_othersInFlight);
+    static_cast<double>(aState.m_inFlight + aState.m_peerInFlight);
   return running < kFullShare * static_cast<double>(aState.m_member.m_slots);
 }
 
 const Fleet::Candidate*
-Fleet::PickReader(std::span<const Candidate> aCandidates,
-                  const Candidate& aBest,
-                  const PlaceRequest& aRequest)
+Fleet::PickPrefillEngine(std::span<const Candidate> aCandidates,
+                         const Candidate& aBest,
+                         const PlaceRequest& aRequest)
 {
   const auto home =
     std::find_if(aCandidates.begin(),
                  aCandidates.end(),
-                 [](const Candidate& aItem) { return aItem.m_isHome; });
-  if (home != aCandidates.end() && home->m_ms <= aBest.m_ms + kHomeSlackMs) {
+                 [](const Candidate& aItem) { return aItem.m_hasAffinity; });
+  if (home != aCandidates.end() &&
+      home->m_ms <= aBest.m_ms + kAffinitySlackMs) {
     return &*home;
   }
   const Candidate& better =
@@ -370,32 +374,34 @@
 }
 
 Place
-Fleet::WithTaker(const State& aReader,
-                 std::span<const State* const> aSound,
-                 const PlaceRequest& aRequest)
+Fleet::WithDecodeTarget(const State& aPrefillEngine,
+                        std::span<const State* const> aSound,
+                        const PlaceRequest& aRequest)
 {
   // A call that is handed over waits behind the prompts that are being
   // prefilled on the decode engine.
   const auto takes = [&](const State* aState) {
-    const bool away = aState->m_member.m_hall != aReader.m_member.m_hall;
-    return FirstTokenMs(*aState, 0, MetPaceOf(*aState)) +
-           (away ? kAwayTakerMs : 0);
+    const bool away = aState->m_member.m_hall != aPrefillEngine.m_member.m_hall;
+    return FirstTokenMs(*aState, 0, ObservedThroughputOf(*aState)) +
+           (away ? kRemoteDecodePenaltyMs : 0);
   };
   const auto sooner = [&](const State* aLeft, const State* aRight) {
     return takes(aLeft) < takes(aRight);
   };
-  std::vector<const State*> takers;
+  std::vector<const State*> decodeEngines;
   std::copy_if(aSound.begin(),
                aSound.end(),
-               std::back_inserter(takers),
+               std::back_inserter(decodeEngines),
                [](const State* aState) {
-                 return aState->m_member.m_part == Part::Generate;
+                 return aState->m_member.m_role == UpstreamRole::Decode;
                });
-  const State* best = *std::min_element(takers.begin(), takers.end(), sooner);
-  const State* drawn =
-    BetterOfTwo<const State*>(takers, aRequest.m_random / kNextDraw, sooner);
-  const bool isFar = takes(drawn) > takes(best) + kMostTakerMs;
-  return Place{ (isFar ? best : drawn)->m_member.m_id, aReader.m_member.m_id };
+  const State* best =
+    *std::min_element(decodeEngines.begin(), decodeEngines.end(), sooner);
+  const State* drawn = BetterOfTwo<const State*>(
+    decodeEngines, aRequest.m_random / kNextDraw, sooner);
+  const bool isFar = takes(drawn) > takes(best) + kMaxDrawnDecodeMs;
+  return Place{ (isFar ? best : drawn)->m_member.m_id,
+                aPrefillEngine.m_member.m_id };
 }
 
 std::optional<PlaceFault>
@@ -411,17 +417,17 @@
                       [](const Candidate& aLeft, const Candidate& aRight) {
                         return aLeft.TypicalFirstMs() < aRight.TypicalFirstMs();
                       });
-  const double stretch = StretchOf(aRequest.m_service, *aRequest.m_prompt);
-  const Expectation expected{ soonest.WaitMs() * stretch, soonest.m_typicalMs };
+  const double factor = EstimateErrorOf(aRequest.m_service, *aRequest.m_prompt);
+  const Expectation expected{ soonest.WaitMs() * factor, soonest.m_typicalMs };
   const Duration first(
     static_cast<std::int64_t>(expected.m_waitMs + expected.m_ownMs));
-  if (first <= aRequest.m_patience) {
+  if (first <= aRequest.m_admissionBound) {
     return std::nullopt;
   }
   return PlaceFault{ NoPlaceCause::Full,
-                     first - aRequest.m_patience,
+                     first - aRequest.m_admissionBound,
                      expected,
-                     static_cast<double>(aRequest.m_patience.count()) };
+                     static_cast<double>(aRequest.m_admissionBound.count()) };
 }
 
 bool
@@ -429,9 +435,10 @@
                         const PlaceRequest& aRequest) const
 {
   const double first =
-    aBest.m_ms * StretchOf(aRequest.m_service, *aRequest.m_prompt);
-  return aRequest.m_mayPassForItsSize && aBest.m_readMs < aBest.m_typicalMs &&
-         first <= static_cast<double>(aRequest.m_patience.count());
+    aBest.m_ms * EstimateErrorOf(aRequest.m_service, *aRequest.m_prompt);
+  return aRequest.m_mayPassForItsSize &&
+         aBest.m_prefillMs < aBest.m_typicalMs &&
+         first <= static_cast<double>(aRequest.m_admissionBound.count());
 }
 
 std::optional<PlaceFault>
@@ -442,14 +449,14 @@
     std::min_element(aCandidates.begin(),
                      aCandidates.end(),
                      [](const Candidate& aLeft, const Candidate& aRight) {
-                       return aLeft.m_readMs < aRight.m_readMs;
+                       return aLeft.m_prefillMs < aRight.m_prefillMs;
                      });
   const auto left = static_cast<double>(aRequest.m_untilGivenUp.count());
-  if (kFirstTokenMs + fastest->m_readMs <= left) {
+  if (kFirstTokenMs + fastest->m_prefillMs <= left) {
     return std::nullopt;
   }
   return PlaceFault{
-    NoPlaceCause::TooLarge, {}, { kFirstTokenMs, fastest->m_readMs }, left
+    NoPlaceCause::TooLarge, {}, { kFirstTokenMs, fastest->m_prefillMs }, left
   };
 }
 
@@ -458,8 +465,8 @@
                   const PlaceRequest& aRequest,
                   Instant aNow) const
 {
-  if (!ReadsBeside(aRequest.m_service)) {
-    if (auto place = FindReader(aSound, aRequest, aNow)) {
+  if (!AllowsColocatedPrefill(aRequest.m_service)) {
+    if (auto place = FindPrefillEngine(aSound, aRequest, aNow)) {
       return *place;
     }
   }
@@ -467,43 +474,45 @@
   const Prompt& typical = TypicalOf(aRequest);
   const bool longPrompt = IsLong(prompt);
   const std::uint64_t home =
-    longPrompt ? HomeOf(prompt.m_sharedKey, aRequest.m_service) : 0;
-  const std::uint64_t quietBelow = QuietBelow(aRequest.m_service, false);
+    longPrompt ? AffinityTargetOf(prompt.m_sharedKey, aRequest.m_service) : 0;
+  const std::uint64_t reservedBound =
+    ReservedHashBound(aRequest.m_service, false);
   // Output is produced steadily on engines that prefill no long prompts, so
   // short prompts go there as long as there is room.
-  const bool quietHasRoom =
+  const bool reservedHasRoom =
     std::any_of(aSound.begin(), aSound.end(), [&](const State* aState) {
-      return IsQuiet(*aState, quietBelow) && HasFreeSlots(*aState);
+      return IsReservedForDecode(*aState, reservedBound) &&
+             HasFreeSlots(*aState);
     });
   std::vector<Candidate> fitting;
-  std::vector<Candidate> generators;
+  std::vector<Candidate> decodeCandidates;
   for (const State* state : aSound) {
     const bool isHome = longPrompt && state->m_hash == home;
-    const std::int64_t work = WorkToRead(prompt, isHome);
-    const double pace = MetPaceOf(*state);
+    const std::int64_t work = WorkToPrefill(prompt, isHome);
+    const double throughput = ObservedThroughputOf(*state);
     const Candidate item{ state,
-                          FirstTokenMs(*state, work, pace),
+                          FirstTokenMs(*state, work, throughput),
                           isHome,
-                          static_cast<double>(work) / pace,
-                          static_cast<double>(WorkToRead(typical, isHome)) /
-                            pace };
-    const bool reads = state->m_member.m_part == Part::Prefill;
-    const bool quiet = IsQuiet(*state, quietBelow);
-    if (longPrompt ? !quiet : !reads && (quiet || !quietHasRoom)) {
+                          static_cast<double>(work) / throughput,
+                          static_cast<double>(WorkToPrefill(typical, isHome)) /
+                            throughput };
+    const bool reads = state->m_member.m_role == UpstreamRole::Prefill;
+    const bool quiet = IsReservedForDecode(*state, reservedBound);
+    if (longPrompt ? !quiet : !reads && (quiet || !reservedHasRoom)) {
       fitting.push_back(item);
     }
     if (!reads) {
-      generators.push_back(item);
+      decodeCandidates.push_back(item);
     }
   }
-  if (generators.empty()) {
+  if (decodeCandidates.empty()) {
     return PlaceFault{}; // No engine could decode the output.
   }
-  const auto& candidates = fitting.empty() ? generators : fitting;
+  const auto& candidates = fitting.empty() ? decodeCandidates : fitting;
   const Candidate& best =
     *std::min_element(candidates.begin(), candidates.end());
   bool forItsSize = false;
-  if (aRequest.m_patience != Duration::max()) {
+  if (aRequest.m_admissionBound != Duration::max()) {
     if (auto fault = TooLarge(candidates, aRequest)) {
       return *fault;
     }
@@ -514,11 +523,11 @@
       }
     }
   }
-  const Candidate& chosen = *PickReader(candidates, best, aRequest);
+  const Candidate& chosen = *PickPrefillEngine(candidates, best, aRequest);
   const State& state = *chosen.m_state;
-  Place place = state.m_member.m_part == Part::Generate
+  Place place = state.m_member.m_role == UpstreamRole::Decode
                   ? Place{ state.m_member.m_id, {} }
-                  : WithTaker(state, aSound, aRequest);
+                  : WithDecodeTarget(state, aSound, aRequest);
   place.m_expectedMs = chosen.m_ms;
   place.m_forItsSize = forItsSize;
   return place;
--- a/packages/relay/src/FleetParts.cpp
+++ b/packages/relay/src/FleetRoles.cpp
@@ -27,11 +27,11 @@
 
 } // namespace
 
-const PartNewsOf*
-Fleet::NewsOf(std::uint32_t aMember) const
+const MemberRoleUpdate*
+Fleet::FindRoleUpdate(std::uint32_t aMember) const
 {
-  for (const auto& [instance, news] : m_news) {
-    for (const PartNewsOf& item : news) {
+  for (const auto& [instance, news] : m_roleUpdates) {
+    for (const MemberRoleUpdate& item : news) {
       if (item.m_member == aMember) {
         return &item;
       }
@@ -41,36 +41,38 @@
 }
 
 void
-Fleet::UseNews(State& aState)
+Fleet::ApplyRoleUpdate(State& aState)
 {
-  const PartNewsOf* news = NewsOf(ShortHash(aState.m_member.m_id));
-  const Part before = aState.m_member.m_part;
-  aState.m_changing = news != nullptr && !news->m_part;
-  aState.m_member.m_part =
-    news != nullptr && news->m_part ? *news->m_part : aState.m_listedPart;
-  if (aState.m_member.m_part != before) {
-    aState.m_pace.Forget(); // The samples were taken in the other role.
-    aState.m_metPace = 0;
+  const MemberRoleUpdate* news =
+    FindRoleUpdate(ShortHash(aState.m_member.m_id));
+  const UpstreamRole before = aState.m_member.m_role;
+  aState.m_changing = news != nullptr && !news->m_role;
+  aState.m_member.m_role =
+    news != nullptr && news->m_role ? *news->m_role : aState.m_listedRole;
+  if (aState.m_member.m_role != before) {
+    aState.m_throughput.Forget(); // The samples were taken in the other role.
+    aState.m_observedThroughput = 0;
   }
-  aState.m_kindPace = KindPaceOf(aState.m_member);
+  aState.m_roleThroughput = RoleThroughputOf(aState.m_member);
 }
 
 void
-Fleet::SetNews(const std::string& aInstance, std::vector<PartNewsOf> aNews)
+Fleet::SetRoleUpdates(const std::string& aInstance,
+                      std::vector<MemberRoleUpdate> aNews)
 {
-  const auto known = m_news.find(aInstance);
+  const auto known = m_roleUpdates.find(aInstance);
   const bool same =
-    known == m_news.end() ? aNews.empty() : known->second == aNews;
+    known == m_roleUpdates.end() ? aNews.empty() : known->second == aNews;
   if (same) {
     return;
   }
   if (aNews.empty()) {
-    m_news.erase(aInstance);
+    m_roleUpdates.erase(aInstance);
   } else {
-    m_news[aInstance] = std::move(aNews);
+    m_roleUpdates[aInstance] = std::move(aNews);
   }
   for (auto& [id, state] : m_members) {
-    UseNews(state);
+    ApplyRoleUpdate(state);
   }
 }
 
@@ -83,18 +85,18 @@
     // Ejected engines are included: they should be back before a role change
     // would be finished.
     if (member.m_service == aService && !member.m_leaving && !state.m_goneAt &&
-        member.m_part != Part::Whole) {
+        member.m_role != UpstreamRole::Plain) {
       out.push_back({ id,
                       member.m_hall,
-                      member.m_part,
-                      state.m_inFlight + state.m_othersInFlight });
+                      member.m_role,
+                      state.m_inFlight + state.m_peerInFlight });
     }
   }
   return out;
 }
 
 bool
-Fleet::HasLapsed() const
+Fleet::HasMemberInGracePeriod() const
 {
   return std::any_of(
     m_members.begin(), m_members.end(), [](const auto& aEntry) {
@@ -103,10 +105,11 @@
 }
 
 bool
-Fleet::ReadsBeside(std::string_view aService) const
+Fleet::AllowsColocatedPrefill(std::string_view aService) const
 {
   const auto found = m_beliefs.find(aService);
-  if (found != m_beliefs.end() && !found->second.m_beside.IsAllowed()) {
+  if (found != m_beliefs.end() &&
+      !found->second.m_colocatedPrefill.IsAllowed()) {
     return false;
   }
   const std::uint32_t service = ShortHash(aService);
@@ -115,24 +118,24 @@
            aServices.end();
   };
   const auto others =
-    std::count_if(m_apart.begin(), m_apart.end(), [&](const auto& aItem) {
-      return has(aItem.second);
-    });
-  return others < kWitnesses && !has(m_recalledApart);
+    std::count_if(m_peerDisaggregated.begin(),
+                  m_peerDisaggregated.end(),
+                  [&](const auto& aItem) { return has(aItem.second); });
+  return others < kWitnesses && !has(m_restoredDisaggregated);
 }
 
 void
 Fleet::NoteStream(std::string_view aService, bool aPaused)
 {
-  m_beliefs[std::string(aService)].m_beside.NoteStream(aPaused);
+  m_beliefs[std::string(aService)].m_colocatedPrefill.NoteStream(aPaused);
 }
 
 std::vector<std::uint32_t>
-Fleet::OwnApart() const
+Fleet::OwnDisaggregatedServices() const
 {
   std::vector<std::uint32_t> out;
   for (const auto& [service, belief] : m_beliefs) {
-    if (!belief.m_beside.IsAllowed()) {
+    if (!belief.m_colocatedPrefill.IsAllowed()) {
       out.push_back(ShortHash(service));
     }
   }
@@ -140,10 +143,10 @@
 }
 
 std::vector<std::uint32_t>
-Fleet::ToldApart() const
+Fleet::ReportedDisaggregatedServices() const
 {
-  std::vector<std::uint32_t> out = OwnApart();
-  for (const std::uint32_t service : m_recalledApart) {
+  std::vector<std::uint32_t> out = OwnDisaggregatedServices();
+  for (const std::uint32_t service : m_restoredDisaggregated) {
     if (std::find(out.begin(), out.end(), service) == out.end()) {
       out.push_back(service);
     }
@@ -152,31 +155,32 @@
 }
 
 void
-Fleet::SetApart(const std::string& aInstance,
-                std::vector<std::uint32_t> aServices)
+Fleet::SetDisaggregatedServices(const std::string& aInstance,
+                                std::vector<std::uint32_t> aServices)
 {
   if (aServices.empty()) {
-    m_apart.erase(aInstance);
+    m_peerDisaggregated.erase(aInstance);
   } else {
-    m_apart[aInstance] = std::move(aServices);
+    m_peerDisaggregated[aInstance] = std::move(aServices);
   }
 }
 
 void
-Fleet::RecallApart(std::vector<std::uint32_t> aServices)
+Fleet::RestoreDisaggregatedServices(std::vector<std::uint32_t> aServices)
 {
-  m_recalledApart = std::move(aServices);
+  m_restoredDisaggregated = std::move(aServices);
 }
 
 double
-Fleet::GeneratorsNeeded(std::string_view aService,
-                        const EngineTraits& aTraits) const
+Fleet::DecodeEnginesNeeded(std::string_view aService,
+                           const EngineTraits& aTraits) const
 {
   double running = 0;
   for (const auto& [id, state] : m_members) {
     if (state.m_member.m_service == aService &&
-        state.m_member.m_part == Part::Generate && !state.m_mustProve) {
-      running += static_cast<double>(state.m_inFlight + state.m_othersInFlight);
+        state.m_member.m_role == UpstreamRole::Decode &&
+        !state.m_isOnProbation) {
+      running += static_cast<double>(state.m_inFlight + state.m_peerInFlight);
     }
   }
   const auto belief = m_beliefs.find(aService);
@@ -192,38 +196,39 @@
 }
 
 void
-Fleet::NoteRead(const Prompt& aPrompt, std::string_view aId, Instant aNow)
+Fleet::NotePrefill(const Prompt& aPrompt, std::string_view aId, Instant aNow)
 {
   // Only prefills of services with disaggregated prefill are announced, because
   // no other placement uses them and each one costs every peer some
   // microseconds.
   const auto member = m_members.find(aId);
-  const bool isTold = member != m_members.end() &&
-                      !ReadsBeside(member->second.m_member.m_service);
-  for (const SharedPart& part : aPrompt.m_parts) {
-    const KeptPart kept{ part.m_key, ShortHash(aId) };
-    m_kept.Note(kept, aNow);
+  const bool isTold =
+    member != m_members.end() &&
+    !AllowsColocatedPrefill(member->second.m_member.m_service);
+  for (const PrefixSegment& part : aPrompt.m_prefixSegments) {
+    const CachedSegment kept{ part.m_key, ShortHash(aId) };
+    m_prefixCaches.Note(kept, aNow);
     if (isTold) {
-      m_ownReads.emplace_back(aNow, kept);
+      m_ownPrefills.emplace_back(aNow, kept);
     }
   }
-  while (!m_ownReads.empty() &&
-         aNow - m_ownReads.front().first >= kTellReadsFor) {
-    m_ownReads.pop_front();
+  while (!m_ownPrefills.empty() &&
+         aNow - m_ownPrefills.front().first >= kTellReadsFor) {
+    m_ownPrefills.pop_front();
   }
 }
 
 void
-Fleet::NoteKept(const KeptPart& aPart, Instant aNow)
+Fleet::NoteCached(const CachedSegment& aPart, Instant aNow)
 {
-  m_kept.Note(aPart, aNow);
+  m_prefixCaches.Note(aPart, aNow);
 }
 
-std::vector<KeptPart>
-Fleet::OwnReads(Instant aNow, Duration aSince) const
+std::vector<CachedSegment>
+Fleet::OwnPrefills(Instant aNow, Duration aSince) const
 {
-  std::vector<KeptPart> out;
-  for (const auto& [at, kept] : m_ownReads) {
+  std::vector<CachedSegment> out;
+  for (const auto& [at, kept] : m_ownPrefills) {
     if (aNow - at < aSince) {
       out.push_back(kept);
     }
--- a/packages/relay/src/Member.cpp
+++ b/packages/relay/src/Member.cpp
@@ -3,14 +3,14 @@
 namespace ridgeferry::relay {
 
 std::string_view
-NameOf(Part aPart)
+NameOf(UpstreamRole aPart)
 {
   switch (aPart) {
-    case Part::Whole:
+    case UpstreamRole::Plain:
       return "whole";
-    case Part::Prefill:
+    case UpstreamRole::Prefill:
       return "read";
-    case Part::Generate:
+    case UpstreamRole::Decode:
       break;
   }
   return "generate";
--- a/packages/relay/src/KeptParts.cpp
+++ b/packages/relay/src/PrefixCacheIndex.cpp
@@ -1,4 +1,4 @@
-#include "ridgeferry/relay/KeptParts.h"
+#include "ridgeferry/relay/PrefixCacheIndex.h"
 
 namespace ridgeferry::relay {
 
@@ -7,31 +7,33 @@
 constexpr unsigned kWordBits = 32;
 
 std::uint64_t
-KeyOf(const KeptPart& aPart)
+KeyOf(const CachedSegment& aPart)
 {
-  return (std::uint64_t{ aPart.m_part } << kWordBits) | aPart.m_member;
+  return (std::uint64_t{ aPart.m_segment } << kWordBits) | aPart.m_member;
 }
 
 } // namespace
 
 void
-KeptParts::Note(const KeptPart& aPart, Instant aNow)
+PrefixCacheIndex::Note(const CachedSegment& aPart, Instant aNow)
 {
   m_usedAt[KeyOf(aPart)] = aNow;
-  if (aNow - m_forgotten >= kLife) {
+  if (aNow - m_forgotten >= kLifetime) {
     Forget(aNow);
   }
 }
 
 bool
-KeptParts::IsKept(const KeptPart& aPart, Duration aLife, Instant aNow) const
+PrefixCacheIndex::IsCached(const CachedSegment& aPart,
+                           Duration aLife,
+                           Instant aNow) const
 {
   const auto found = m_usedAt.find(KeyOf(aPart));
   return found != m_usedAt.end() && aNow - found->second < aLife;
 }
 
 void
-KeptParts::ForgetMember(std::uint32_t aMember)
+PrefixCacheIndex::ForgetEngine(std::uint32_t aMember)
 {
   std::erase_if(m_usedAt, [aMember](const auto& aItem) {
     return static_cast<std::uint32_t>(aItem.first) == aMember;
@@ -39,11 +41,11 @@
 }
 
 void
-KeptParts::Forget(Instant aNow)
+PrefixCacheIndex::Forget(Instant aNow)
 {
   m_forgotten = aNow;
   std::erase_if(m_usedAt, [aNow](const auto& aItem) {
-    return aNow - aItem.second >= kLife;
+    return aNow - aItem.second >= kLifetime;
   });
 }
 
--- a/packages/relay/src/RelayFlow.cpp
+++ b/packages/relay/src/RelayFlow.cpp
@@ -103,16 +103,16 @@
     return;
   }
   m_upstream = aEvent.m_upstream;
-  m_reader = aEvent.m_reader;
+  m_prefillEngine = aEvent.m_prefillEngine;
   m_handle.clear();
-  if (m_reader.empty()) {
+  if (m_prefillEngine.empty()) {
     StartRun(aActions);
     return;
   }
   m_step = Step::Reading;
   const bool repeat = m_reads > 0;
   ++m_reads;
-  aActions.emplace_back(SendRead{ ++m_attempt, m_reader, repeat });
+  aActions.emplace_back(SendRead{ ++m_attempt, m_prefillEngine, repeat });
 }
 
 void
@@ -126,7 +126,7 @@
   ++m_sends;
   aActions.emplace_back(SendRun{ ++m_attempt,
                                  m_upstream,
-                                 m_reader,
+                                 m_prefillEngine,
                                  m_handle,
                                  m_forwarded ? m_events.LastId() : "",
                                  repeat });
@@ -135,7 +135,7 @@
 void
 RelayFlow::ReadWhereItRuns(Actions& aActions)
 {
-  m_reader.clear();
+  m_prefillEngine.clear();
   StartRun(aActions);
 }
 
@@ -168,7 +168,8 @@
 {
   aActions.emplace_back(NoteAttemptEnd{ m_attempt, aEnd });
   if (aEnd != AttemptEnd::Served && aEnd != AttemptEnd::Abandoned) {
-    m_excluded.push_back(m_step == Step::Reading ? m_reader : m_upstream);
+    m_excluded.push_back(m_step == Step::Reading ? m_prefillEngine
+                                                 : m_upstream);
   }
 }
 
@@ -216,7 +217,7 @@
     GiveUp(kRetryAfter, aActions);
     return;
   }
-  m_reader.clear();
+  m_prefillEngine.clear();
   if (m_repeatAllowed && m_tries < kMaxSends) {
     FindAgain(aActions);
   } else {
@@ -365,7 +366,7 @@
   // the prefill engine, which would then hold it until the handle expires.
   const bool untaken = m_step == Step::Running && m_fate == Fate::Unknown;
   if (untaken && !m_handle.empty()) {
-    aActions.emplace_back(FreeHandle{ m_reader, m_handle });
+    aActions.emplace_back(FreeHandle{ m_prefillEngine, m_handle });
   }
   m_step = Step::Done;
 }
--- a/packages/relay/src/PartDesk.cpp
+++ b/packages/relay/src/RoleChangeController.cpp
@@ -1,39 +1,41 @@
-#include "ridgeferry/relay/PartDesk.h"
+#include "ridgeferry/relay/RoleChangeController.h"
 
 #include <algorithm>
 
 namespace ridgeferry::relay {
 
-std::vector<DeskAction>
-PartDesk::Handle(const DeskEvent& aEvent, Instant aNow)
+std::vector<RoleChangeAction>
+RoleChangeController::Handle(const RoleChangeEvent& aEvent, Instant aNow)
 {
   Actions actions;
-  m_newsChanged = false;
+  m_roleUpdatesChanged = false;
   std::visit([&](const auto& aTyped) { On(aTyped, aNow, actions); }, aEvent);
-  if (m_newsChanged) {
-    actions.emplace_back(TellNews{});
+  if (m_roleUpdatesChanged) {
+    actions.emplace_back(AnnounceRoleUpdates{});
   }
   return actions;
 }
 
 void
-PartDesk::GoTo(Change& aChange, Step aStep, Instant aNow)
+RoleChangeController::GoTo(Change& aChange, Step aStep, Instant aNow)
 {
   aChange.m_step = aStep;
   aChange.m_since = aNow;
-  m_newsChanged = true;
+  m_roleUpdatesChanged = true;
 }
 
 bool
-PartDesk::IsOver(const Change& aChange, Instant aNow)
+RoleChangeController::IsOver(const Change& aChange, Instant aNow)
 {
   const Duration age = aNow - aChange.m_since;
-  return (aChange.m_step == Step::Done && age >= kNewsLife) ||
+  return (aChange.m_step == Step::Done && age >= kRoleUpdateLifetime) ||
          (aChange.m_step == Step::Paused && age >= kPause);
 }
 
 void
-PartDesk::On(const DeskTick& aEvent, Instant aNow, Actions& aActions)
+RoleChangeController::On(const RoleChangeTick& aEvent,
+                         Instant aNow,
+                         Actions& aActions)
 {
   m_mayOrder = aEvent.m_mayOrder;
   std::vector<std::pair<Instant, const std::string*>> due;
@@ -51,11 +53,13 @@
   const std::size_t over = std::erase_if(m_changes, [aNow](const auto& aItem) {
     return IsOver(aItem.second, aNow);
   });
-  m_newsChanged = m_newsChanged || over > 0;
+  m_roleUpdatesChanged = m_roleUpdatesChanged || over > 0;
 }
 
 void
-PartDesk::Ask(const std::string& aEngine, Instant aNow, Actions& aActions)
+RoleChangeController::Ask(const std::string& aEngine,
+                          Instant aNow,
+                          Actions& aActions)
 {
   Change& change = m_changes.at(aEngine);
   if (change.m_step == Step::Announced) {
@@ -66,7 +70,7 @@
 }
 
 bool
-PartDesk::IsToBeAsked(const Change& aChange, Instant aNow)
+RoleChangeController::IsToBeAsked(const Change& aChange, Instant aNow)
 {
   switch (aChange.m_step) {
     case Step::Announced:
@@ -84,7 +88,7 @@
 }
 
 void
-PartDesk::Advance(Change& aChange, Instant aNow)
+RoleChangeController::Advance(Change& aChange, Instant aNow)
 {
   const Duration age = aNow - aChange.m_since;
   const bool ordered =
@@ -99,12 +103,12 @@
 }
 
 void
-PartDesk::On(const ChangesWanted& aEvent, Instant aNow, Actions&)
+RoleChangeController::On(const ChangesWanted& aEvent, Instant aNow, Actions&)
 {
   if (!m_mayOrder) {
     return;
   }
-  for (const PartChange& wanted : aEvent.m_changes) {
+  for (const EngineRoleChange& wanted : aEvent.m_changes) {
     const auto known = m_changes.find(wanted.m_engine);
     if (known != m_changes.end() && known->second.m_step != Step::Done) {
       continue;
@@ -117,7 +121,9 @@
 }
 
 void
-PartDesk::On(const ReportCame& aEvent, Instant aNow, Actions& aActions)
+RoleChangeController::On(const ReportCame& aEvent,
+                         Instant aNow,
+                         Actions& aActions)
 {
   const auto found = m_changes.find(aEvent.m_engine);
   if (found == m_changes.end()) {
@@ -130,7 +136,7 @@
   }
   if (report && Compare(change.m_born, report->m_born) != LifeOrder::Same) {
     m_changes.erase(found);
-    m_newsChanged = true;
+    m_roleUpdatesChanged = true;
     return;
   }
   if (change.m_step == Step::Asking) {
@@ -138,12 +144,12 @@
       GoTo(change, Step::Paused, aNow);
     } else if (report->m_changing) {
       GoTo(change, Step::Watching, aNow);
-    } else if (report->m_part == change.m_to) {
+    } else if (report->m_role == change.m_to) {
       GoTo(change, Step::Done, aNow);
     } else {
       GoTo(change, Step::Ordering, aNow);
       aActions.emplace_back(
-        SendPartOrder{ aEvent.m_engine, change.m_to, report->m_ordersTaken });
+        SendRoleOrder{ aEvent.m_engine, change.m_to, report->m_ordersTaken });
     }
     return;
   }
@@ -156,13 +162,13 @@
     if (change.m_step == Step::Doubtful) {
       GoTo(change, Step::Watching, aNow);
     }
-  } else if (report->m_part == change.m_to) {
+  } else if (report->m_role == change.m_to) {
     GoTo(change, Step::Done, aNow);
   }
 }
 
 void
-PartDesk::On(const OrderAnswered& aEvent, Instant aNow, Actions&)
+RoleChangeController::On(const OrderAnswered& aEvent, Instant aNow, Actions&)
 {
   const auto found = m_changes.find(aEvent.m_engine);
   if (found == m_changes.end() || found->second.m_step != Step::Ordering) {
@@ -182,15 +188,15 @@
 }
 
 void
-PartDesk::On(const EngineGone& aEvent, Instant, Actions&)
+RoleChangeController::On(const EngineGone& aEvent, Instant, Actions&)
 {
-  m_newsChanged = m_changes.erase(aEvent.m_engine) > 0;
+  m_roleUpdatesChanged = m_changes.erase(aEvent.m_engine) > 0;
 }
 
-std::vector<PartNews>
-PartDesk::News() const
+std::vector<RoleUpdate>
+RoleChangeController::RoleUpdates() const
 {
-  std::vector<PartNews> out;
+  std::vector<RoleUpdate> out;
   for (const auto& [engine, change] : m_changes) {
     switch (change.m_step) {
       case Step::Announced:
@@ -210,8 +216,8 @@
   return out;
 }
 
-std::optional<Part>
-PartDesk::TargetOf(const std::string& aEngine) const
+std::optional<UpstreamRole>
+RoleChangeController::TargetOf(const std::string& aEngine) const
 {
   const auto found = m_changes.find(aEngine);
   if (found == m_changes.end() || found->second.m_step == Step::Paused ||
@@ -222,7 +228,7 @@
 }
 
 bool
-PartDesk::IsLeftAlone(const std::string& aEngine) const
+RoleChangeController::IsLeftAlone(const std::string& aEngine) const
 {
   const auto found = m_changes.find(aEngine);
   return found != m_changes.end() && found->second.m_step == Step::Paused;
--- a/packages/relay/tests/HallLoadsTest.cpp
+++ b/packages/relay/tests/DataCentreLoadsTest.cpp
@@ -1,5 +1,5 @@
 #include <gtest/gtest.h>
-#include <ridgeferry/relay/HallLoads.h>
+#include <ridgeferry/relay/DataCentreLoads.h>
 
 namespace ridgeferry::relay {
 namespace {
@@ -9,19 +9,19 @@
 struct SumCase
 {
   const char* m_name;
-  std::vector<OtherLoad> m_own;
-  std::vector<OtherLoad> m_first;  ///< Loads of one peer.
-  std::vector<OtherLoad> m_second; ///< Loads of another peer.
+  std::vector<PeerLoad> m_own;
+  std::vector<PeerLoad> m_first;  ///< Loads of one peer.
+  std::vector<PeerLoad> m_second; ///< Loads of another peer.
   std::size_t m_most;
-  std::vector<OtherLoad> m_sum;
+  std::vector<PeerLoad> m_sum;
 };
 
-class HallLoadsTest : public ::testing::TestWithParam<SumCase>
+class DataCentreLoadsTest : public ::testing::TestWithParam<SumCase>
 {};
 
-TEST_P(HallLoadsTest, AddsUpWhatTheHallHasUnderWay)
+TEST_P(DataCentreLoadsTest, AddsUpTheLoadsOfADataCentre)
 {
-  HallLoads loads;
+  DataCentreLoads loads;
   loads.Set("first", GetParam().m_first);
   loads.Set("second", { { 9, 9, 9 } });
   // Replaces the loads reported before.
@@ -31,7 +31,7 @@
 
 INSTANTIATE_TEST_SUITE_P(
   Sums,
-  HallLoadsTest,
+  DataCentreLoadsTest,
   ::testing::Values(SumCase{ "Nothing", {}, {}, {}, kAll, {} },
                     SumCase{ "OneEngine",
                              { { 1, 1, 10 } },
--- a/packages/relay/tests/PartPlanTest.cpp
+++ b/packages/relay/tests/DecodePoolPlannerTest.cpp
@@ -1,7 +1,7 @@
 #include <algorithm>
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
-#include <ridgeferry/relay/PartPlan.h>
+#include <ridgeferry/relay/DecodePoolPlanner.h>
 
 namespace ridgeferry::relay {
 namespace {
@@ -22,17 +22,17 @@
     PlannedEngine engine;
     engine.m_id = aHall + std::to_string(i);
     engine.m_hall = aHall;
-    engine.m_part = i < aReading ? Part::Prefill : Part::Generate;
+    engine.m_role = i < aReading ? UpstreamRole::Prefill : UpstreamRole::Decode;
     engine.m_running = i;
     aEngines.push_back(engine);
   }
 }
 
 std::ptrdiff_t
-CountTo(const std::vector<PartChange>& aChanges, Part aPart)
+CountTo(const std::vector<EngineRoleChange>& aChanges, UpstreamRole aPart)
 {
   return std::count_if(
-    aChanges.begin(), aChanges.end(), [aPart](const PartChange& aChange) {
+    aChanges.begin(), aChanges.end(), [aPart](const EngineRoleChange& aChange) {
       return aChange.m_to == aPart;
     });
 }
@@ -52,26 +52,26 @@
   std::ptrdiff_t m_toGenerate;
 };
 
-class PartPlanTest : public ::testing::TestWithParam<PlanCase>
+class DecodePoolPlanTest : public ::testing::TestWithParam<PlanCase>
 {};
 
-TEST_P(PartPlanTest, AsFewGenerateAsTheOutputNeeds)
+TEST_P(DecodePoolPlanTest, AsFewEnginesDecodeAsTheOutputNeeds)
 {
   std::vector<PlannedEngine> engines;
   AddHall(engines, "a", GetParam().m_reading, GetParam().m_generating);
   AddHall(engines, "b", 4, 2);
   AddHall(engines, "c", 4, 2);
-  PartPlanner planner;
+  DecodePoolPlanner planner;
   planner.Plan(engines, GetParam().m_needed, kNow);
   const auto changes =
     planner.Plan(engines, GetParam().m_needed, kNow + GetParam().m_lasts);
-  EXPECT_EQ(CountTo(changes, Part::Prefill), GetParam().m_toRead);
-  EXPECT_EQ(CountTo(changes, Part::Generate), GetParam().m_toGenerate);
+  EXPECT_EQ(CountTo(changes, UpstreamRole::Prefill), GetParam().m_toRead);
+  EXPECT_EQ(CountTo(changes, UpstreamRole::Decode), GetParam().m_toGenerate);
 }
 
 INSTANTIATE_TEST_SUITE_P(
   Halls,
-  PartPlanTest,
+  DecodePoolPlanTest,
   ::testing::Values(
     PlanCase{ "IdleOnesRead", 2, 4, 3, Duration{ 0 }, 2, 0 },
     PlanCase{ "TwoAreKept", 4, 2, 0.5, Duration{ 0 }, 0, 0 },
@@ -82,31 +82,31 @@
     PlanCase{ "OneOfTwoIsEnough", 4, 1, 3, Duration{ 9000 }, 0, 0 }),
   [](const auto& aInfo) { return std::string(aInfo.param.m_name); });
 
-TEST(PartPlannerTest, TheLeastBusyChangeAndThoseOnTheirWayDoNot)
+TEST(DecodePoolPlannerTest, TheLeastBusyChangeAndThoseOnTheirWayDoNot)
 {
   std::vector<PlannedEngine> engines;
   // Engines a2 to a5 decode; a2 has the fewest calls.
   AddHall(engines, "a", 2, 4);
   engines[2].m_changes = true;
-  PartPlanner planner;
+  DecodePoolPlanner planner;
   EXPECT_EQ(planner.Plan(engines, 1, kNow),
-            (std::vector<PartChange>{ { "a3", Part::Prefill },
-                                      { "a4", Part::Prefill } }));
+            (std::vector<EngineRoleChange>{ { "a3", UpstreamRole::Prefill },
+                                            { "a4", UpstreamRole::Prefill } }));
 }
 
-TEST(PartPlannerTest, AHallThatIsWholeAgainIsShortAnew)
+TEST(DecodePoolPlannerTest, ADataCentreThatRecoversStartsItsWaitAnew)
 {
   std::vector<PlannedEngine> lost;
   AddHall(lost, "a", 4, 0);
   std::vector<PlannedEngine> whole;
   AddHall(whole, "a", 4, 1);
-  PartPlanner planner;
+  DecodePoolPlanner planner;
   planner.Plan(lost, 1, kNow);
   planner.Plan(whole, 1, kNow + Duration{ 2000 });
   EXPECT_TRUE(planner.Plan(lost, 1, kNow + Duration{ 3000 }).empty());
 }
 
-TEST(PartPlannerTest, NoHallLosesItsLastOfEitherKind)
+TEST(DecodePoolPlannerTest, NoDataCentreLosesItsLastEngineOfEitherRole)
 {
   EXPECT_TRUE(rc::check("any fleet and any need for decode engines", [] {
     std::vector<PlannedEngine> engines;
@@ -118,23 +118,24 @@
               *rc::gen::inRange(1, 8));
     }
     const double needed = *rc::gen::inRange(0, 40);
-    PartPlanner planner;
+    DecodePoolPlanner planner;
     planner.Plan(engines, needed, kNow);
-    for (const PartChange& change :
-         planner.Plan(engines, needed, kNow + PartPlanner::kShortFor)) {
+    for (const EngineRoleChange& change :
+         planner.Plan(engines, needed, kNow + DecodePoolPlanner::kShortFor)) {
       const auto found = std::find_if(
         engines.begin(), engines.end(), [&](const PlannedEngine& aEngine) {
           return aEngine.m_id == change.m_engine;
         });
       RC_ASSERT(found != engines.end());
-      RC_ASSERT(found->m_part != change.m_to);
-      found->m_part = change.m_to;
+      RC_ASSERT(found->m_role != change.m_to);
+      found->m_role = change.m_to;
     }
     for (const PlannedEngine& engine : engines) {
-      for (const Part part : { Part::Prefill, Part::Generate }) {
+      for (const UpstreamRole part :
+           { UpstreamRole::Prefill, UpstreamRole::Decode }) {
         RC_ASSERT(std::any_of(
           engines.begin(), engines.end(), [&](const PlannedEngine& aOther) {
-            return aOther.m_hall == engine.m_hall && aOther.m_part == part;
+            return aOther.m_hall == engine.m_hall && aOther.m_role == part;
           }));
       }
     }
--- a/packages/relay/tests/FleetTakerTest.cpp
+++ b/packages/relay/tests/FleetDecodeTargetTest.cpp
@@ -13,22 +13,26 @@
 namespace {
 
 /** Two data centres with two prefill engines and three decode engines each. */
-class FleetTakerTest : public ::testing::Test
+class FleetDecodeTargetTest : public ::testing::Test
 {
 protected:
-  FleetTakerTest()
+  FleetDecodeTargetTest()
   {
     for (const char* hall : { "a", "b" }) {
       for (int i = 0; i < 2; ++i) {
-        Put(std::string(hall) + "p" + std::to_string(i), hall, Part::Prefill);
+        Put(std::string(hall) + "p" + std::to_string(i),
+            hall,
+            UpstreamRole::Prefill);
       }
       for (int i = 0; i < 3; ++i) {
-        Put(std::string(hall) + "g" + std::to_string(i), hall, Part::Generate);
+        Put(std::string(hall) + "g" + std::to_string(i),
+            hall,
+            UpstreamRole::Decode);
       }
     }
   }
 
-  void Put(const std::string& aId, const std::string& aHall, Part aPart)
+  void Put(const std::string& aId, const std::string& aHall, UpstreamRole aPart)
   {
     Member member = MakeMember(aId, "llm", aPart);
     member.m_hall = aHall;
@@ -40,7 +44,7 @@
    * Returns the number of calls by decode engine, for prompts that a prefill
    * engine processes.
    */
-  std::map<std::string, int> TakersOf(int aCalls)
+  std::map<std::string, int> DecodeTargetsOf(int aCalls)
   {
     std::map<std::string, int> out;
     std::uint64_t random = 1;
@@ -49,7 +53,7 @@
       PlaceRequest request = LongRequest(random);
       request.m_random = random >> 16U;
       const Place place = MustFind(m_fleet, request);
-      if (!place.m_reader.empty()) {
+      if (!place.m_prefillEngine.empty()) {
         ++out[place.m_upstream];
       }
     }
@@ -59,21 +63,21 @@
   Fleet m_fleet;
 };
 
-TEST_F(FleetTakerTest, OutputsGoWhereNoPromptsAreRead)
+TEST_F(FleetDecodeTargetTest, OutputsGoToEnginesWithoutPrefill)
 {
   for (const char* busy : { "ag0", "ag1", "ag2", "bg0" }) {
     m_fleet.NoteSent(busy, 10'000, kNow);
   }
   int others = 0;
-  for (const auto& [engine, count] : TakersOf(400)) {
+  for (const auto& [engine, count] : DecodeTargetsOf(400)) {
     others += engine == "bg1" || engine == "bg2" ? 0 : count;
   }
   EXPECT_EQ(others, 0);
 }
 
-TEST_F(FleetTakerTest, TheyAreSpreadOverThoseThatAreEquallyQuiet)
+TEST_F(FleetDecodeTargetTest, OutputsAreSpreadOverEquallyLoadedEngines)
 {
-  const std::map<std::string, int> takers = TakersOf(600);
+  const std::map<std::string, int> takers = DecodeTargetsOf(600);
   EXPECT_EQ(takers.size(), 6U);
   for (const auto& [engine, count] : takers) {
     EXPECT_LT(count, 200) << engine;
--- a/packages/relay/tests/FleetReadersTest.cpp
+++ b/packages/relay/tests/FleetDisaggregatedTest.cpp
@@ -15,24 +15,26 @@
 constexpr std::int64_t kOwn = 3'700;
 constexpr double kPace = 60;
 
-class FleetReadersTest : public ::testing::Test
+class FleetDisaggregatedTest : public ::testing::Test
 {
 protected:
-  FleetReadersTest()
+  FleetDisaggregatedTest()
   {
     for (const char* hall : { "a", "b" }) {
       for (int i = 0; i < 3; ++i) {
-        Put(std::string(hall) + "r" + std::to_string(i), hall, Part::Prefill);
+        Put(std::string(hall) + "r" + std::to_string(i),
+            hall,
+            UpstreamRole::Prefill);
       }
-      Put(std::string(hall) + "g", hall, Part::Generate);
+      Put(std::string(hall) + "g", hall, UpstreamRole::Decode);
     }
-    m_fleet.RecallApart({ Fleet::ShortHash("llm") });
+    m_fleet.RestoreDisaggregatedServices({ Fleet::ShortHash("llm") });
     // Throughput is learned from one clean sample of each role.
-    m_fleet.NotePace({ "ar0", 60'000, Duration{ 1015 }, true });
-    m_fleet.NotePace({ "ag", 30'000, Duration{ 1015 }, true });
+    m_fleet.NoteThroughput({ "ar0", 60'000, Duration{ 1015 }, true });
+    m_fleet.NoteThroughput({ "ag", 30'000, Duration{ 1015 }, true });
   }
 
-  void Put(const std::string& aId, const std::string& aHall, Part aPart)
+  void Put(const std::string& aId, const std::string& aHall, UpstreamRole aPart)
   {
     Member member = MakeMember(aId, "llm", aPart);
     member.m_hall = aHall;
@@ -50,9 +52,9 @@
     out.m_service = "llm";
     out.m_hall = "a";
     Prompt prompt{ aPart, kShared, kOwn, 120 };
-    prompt.m_parts = { { aPart, kShared } };
+    prompt.m_prefixSegments = { { aPart, kShared } };
     out.m_prompt = prompt;
-    out.m_patience = Duration{ 420 };
+    out.m_admissionBound = Duration{ 420 };
     out.m_pause = Duration{ 200 };
     out.m_shortestAim = Duration{ 300 };
     out.m_movedPerMs = 1200;
@@ -63,7 +65,7 @@
   {
     PlaceRequest out = Long(1);
     out.m_prompt = Prompt{ 2, 350, 1'100, 170 };
-    out.m_patience = Duration{ 210 };
+    out.m_admissionBound = Duration{ 210 };
     out.m_left = Duration{ 2000 };
     return out;
   }
@@ -98,18 +100,19 @@
   Fleet m_fleet;
 };
 
-TEST_F(FleetReadersTest, LongPromptsAreReadByReadersAndHandedOverInTheirHall)
+TEST_F(FleetDisaggregatedTest, LongPromptsArePrefilledAndDecodedInOneDataCentre)
 {
   Occupy();
   for (std::uint32_t part = 1; part <= 50; ++part) {
     const Place place = Must(Long(part));
-    ASSERT_FALSE(place.m_reader.empty());
+    ASSERT_FALSE(place.m_prefillEngine.empty());
     // The first letter of an id is the engine's data centre.
-    EXPECT_EQ(place.m_reader[0], place.m_upstream[0]);
+    EXPECT_EQ(place.m_prefillEngine[0], place.m_upstream[0]);
   }
 }
 
-TEST_F(FleetReadersTest, AnUnknownPartHasOneHomeAndAllAreSpread)
+TEST_F(FleetDisaggregatedTest,
+       AnUnknownPrefixHasOneAffinityTargetAndTargetsAreSpread)
 {
   Occupy();
   std::set<std::string> used;
@@ -117,7 +120,7 @@
     std::set<std::string> readers;
     PlaceRequest request = Long(part);
     for (request.m_random = 0; request.m_random < 20; ++request.m_random) {
-      readers.insert(Must(request).m_reader);
+      readers.insert(Must(request).m_prefillEngine);
     }
     // Instances agree on the engine without communication.
     EXPECT_EQ(readers.size(), 1U);
@@ -126,32 +129,33 @@
   EXPECT_EQ(used.size(), 6U);
 }
 
-TEST_F(FleetReadersTest, APartIsReadWhereAnyInstanceHadItRead)
+TEST_F(FleetDisaggregatedTest, APrefixIsPrefilledWhereAnyInstanceHadItCached)
 {
   Occupy();
-  const std::string home = Must(Long(5)).m_reader;
+  const std::string home = Must(Long(5)).m_prefillEngine;
   const std::string other = home == "br2" ? "br1" : "br2";
-  m_fleet.NoteKept({ 5, Fleet::ShortHash(other) }, kNow);
+  m_fleet.NoteCached({ 5, Fleet::ShortHash(other) }, kNow);
   const Place place = Must(Long(5));
-  EXPECT_EQ(place.m_reader, other);
+  EXPECT_EQ(place.m_prefillEngine, other);
   EXPECT_EQ(place.m_work, Fleet::WorkOf(*Long(5).m_prompt, kOwn));
 }
 
-TEST_F(FleetReadersTest, ABusyKeeperIsLeftAndThePartFetchedFromIt)
+TEST_F(FleetDisaggregatedTest, APrefixIsFetchedFromABusyEngineThatCachesIt)
 {
   Occupy();
-  m_fleet.NoteKept({ 5, Fleet::ShortHash("ar1") }, kNow);
+  m_fleet.NoteCached({ 5, Fleet::ShortHash("ar1") }, kNow);
   m_fleet.NoteSent("ar1", 12'000, kNow); // Prefilling this takes 200 ms.
   const Place place = Must(Long(5));
-  EXPECT_NE(place.m_reader, "ar1");
+  EXPECT_NE(place.m_prefillEngine, "ar1");
   EXPECT_EQ(place.m_fetchFrom, "ar1");
   EXPECT_EQ(place.m_work, Fleet::WorkOf(*Long(5).m_prompt, kOwn));
 }
 
-TEST_F(FleetReadersTest, WhereNothingCanBeFetchedABusyKeeperIsWaitedFor)
+TEST_F(FleetDisaggregatedTest,
+       WithoutTransfersAPromptWaitsForTheEngineThatCachesItsPrefix)
 {
   Occupy();
-  m_fleet.NoteKept({ 5, Fleet::ShortHash("ar1") }, kNow);
+  m_fleet.NoteCached({ 5, Fleet::ShortHash("ar1") }, kNow);
   m_fleet.NoteSent("ar1", 12'000, kNow);
   PlaceRequest request = Long(5);
   request.m_movedPerMs = 0;
@@ -159,7 +163,7 @@
   request.m_shortestAim = Duration{ 2000 };
   const Place place = Must(request);
   // Prefilling the prefix again elsewhere would take 350 ms.
-  EXPECT_EQ(place.m_reader, "ar1");
+  EXPECT_EQ(place.m_prefillEngine, "ar1");
   EXPECT_TRUE(place.m_fetchFrom.empty());
 }
 
@@ -176,7 +180,7 @@
 };
 
 class QueueTest
-  : public FleetReadersTest
+  : public FleetDisaggregatedTest
   , public ::testing::WithParamInterface<QueueCase>
 {
 protected:
@@ -197,7 +201,7 @@
   m_fleet.NoteSent("ag", 4'000, kNow);
   m_fleet.NoteSent("bg", 4'000, kNow);
   PlaceRequest request = GetParam().m_short ? Short() : Long(5);
-  m_fleet.NoteKept({ 5, Fleet::ShortHash("ar1") }, kNow);
+  m_fleet.NoteCached({ 5, Fleet::ShortHash("ar1") }, kNow);
   request.m_left = GetParam().m_left;
   EXPECT_EQ(NameOf(Find(request)), GetParam().m_outcome);
 }
@@ -217,17 +221,17 @@
     QueueCase{ "ShortWithoutTime", 30'000, true, Duration{ 300 }, "refused" }),
   [](const auto& aInfo) { return std::string(aInfo.param.m_name); });
 
-TEST_F(FleetReadersTest, ALatePromptGoesWhereNothingWaits)
+TEST_F(FleetDisaggregatedTest, ALatePromptGoesWhereNothingWaits)
 {
   Occupy();
   PlaceRequest request = Long(5);
   // The caller is retrying, and its target has passed already.
-  request.m_patience = Duration{ -500 };
+  request.m_admissionBound = Duration{ -500 };
   const Place place = Must(request);
   EXPECT_TRUE(place.m_late);
 }
 
-TEST_F(FleetReadersTest, ARefusalTellsWhenThereMayBeRoom)
+TEST_F(FleetDisaggregatedTest, ARefusalTellsWhenThereMayBeRoom)
 {
   LoadAll(60'000);
   m_fleet.NoteSent("ag", 4'000, kNow);
@@ -241,18 +245,19 @@
   EXPECT_GT(fault->m_roomIn, Duration{ 400 });
 }
 
-TEST_F(FleetReadersTest, ShortPromptsAreReadBesideTheOutputOneAtATime)
+TEST_F(FleetDisaggregatedTest,
+       ShortPromptsArePrefilledOnDecodeEnginesOneAtATime)
 {
   LoadAll(6'000);
   const Place first = Must(Short());
   // Its prefill takes 50 ms, and pauses of 200 ms are allowed.
-  EXPECT_TRUE(first.m_reader.empty());
+  EXPECT_TRUE(first.m_prefillEngine.empty());
   m_fleet.NoteSent("ag", 1'500, kNow);
   m_fleet.NoteSent("bg", 1'500, kNow);
-  EXPECT_FALSE(Must(Short()).m_reader.empty());
+  EXPECT_FALSE(Must(Short()).m_prefillEngine.empty());
 }
 
-TEST_F(FleetReadersTest, LongPromptsAreReadBesideNoOutput)
+TEST_F(FleetDisaggregatedTest, LongPromptsArePrefilledOnIdleDecodeEnginesOnly)
 {
   LoadAll(60'000);
   EXPECT_TRUE(std::holds_alternative<PlaceLater>(Find(Long(5))));
@@ -262,71 +267,73 @@
   const auto* place = std::get_if<Place>(&result);
   ASSERT_NE(place, nullptr);
   EXPECT_EQ(place->m_upstream, "ag"); // No output is delayed there.
-  EXPECT_TRUE(place->m_reader.empty());
+  EXPECT_TRUE(place->m_prefillEngine.empty());
 }
 
-TEST_F(FleetReadersTest, NewsOfAPartGoBeforeTheList)
+TEST_F(FleetDisaggregatedTest, RoleUpdatesTakePrecedenceOverTheList)
 {
-  m_fleet.SetNews("peer",
-                  { { Fleet::ShortHash("ar0"), std::nullopt },
-                    { Fleet::ShortHash("ar1"), Part::Generate } });
+  m_fleet.SetRoleUpdates("peer",
+                         { { Fleet::ShortHash("ar0"), std::nullopt },
+                           { Fleet::ShortHash("ar1"), UpstreamRole::Decode } });
   Occupy();
   for (std::uint32_t part = 1; part <= 40; ++part) {
     const Place place = Must(Long(part));
     // This engine is changing roles and accepts no calls.
-    EXPECT_NE(place.m_reader, "ar0");
-    EXPECT_NE(place.m_reader, "ar1");
+    EXPECT_NE(place.m_prefillEngine, "ar0");
+    EXPECT_NE(place.m_prefillEngine, "ar1");
   }
-  m_fleet.SetNews("peer", {});
+  m_fleet.SetRoleUpdates("peer", {});
   std::set<std::string> used;
   for (std::uint32_t part = 1; part <= 40; ++part) {
-    used.insert(Must(Long(part)).m_reader);
+    used.insert(Must(Long(part)).m_prefillEngine);
   }
   EXPECT_TRUE(used.contains("ar0"));
   EXPECT_TRUE(used.contains("ar1"));
 }
 
-TEST_F(FleetReadersTest, OneWitnessIsChanceTwoAreNot)
+TEST_F(FleetDisaggregatedTest, TwoPeersMustReportThatColocatedPrefillFails)
 {
   Fleet fleet;
-  fleet.SetApart("one", { Fleet::ShortHash("llm") });
-  EXPECT_TRUE(fleet.ReadsBeside("llm"));
-  fleet.SetApart("two", { Fleet::ShortHash("llm") });
-  EXPECT_FALSE(fleet.ReadsBeside("llm"));
-  EXPECT_TRUE(fleet.ReadsBeside("desk"));
-  // `OwnApart` contains only what this instance has found itself.
-  EXPECT_TRUE(fleet.OwnApart().empty());
-  fleet.SetApart("two", {});
-  EXPECT_TRUE(fleet.ReadsBeside("llm"));
+  fleet.SetDisaggregatedServices("one", { Fleet::ShortHash("llm") });
+  EXPECT_TRUE(fleet.AllowsColocatedPrefill("llm"));
+  fleet.SetDisaggregatedServices("two", { Fleet::ShortHash("llm") });
+  EXPECT_FALSE(fleet.AllowsColocatedPrefill("llm"));
+  EXPECT_TRUE(fleet.AllowsColocatedPrefill("desk"));
+  // `OwnDisaggregatedServices` contains only what this instance has found
+  // itself.
+  EXPECT_TRUE(fleet.OwnDisaggregatedServices().empty());
+  fleet.SetDisaggregatedServices("two", {});
+  EXPECT_TRUE(fleet.AllowsColocatedPrefill("llm"));
 }
 
-TEST_F(FleetReadersTest, AnUncleanSampleTeachesNoPace)
+TEST_F(FleetDisaggregatedTest, AnUncleanSampleDoesNotChangeTheThroughput)
 {
   Occupy();
   const double before = Must(Long(5)).m_expectedMs;
   for (int i = 0; i < 20; ++i) {
-    m_fleet.NotePace({ "ar0", 60'000, Duration{ 9'000 }, false });
-    m_fleet.NotePace({ "ar1", 60'000, Duration{ 9'000 }, false });
+    m_fleet.NoteThroughput({ "ar0", 60'000, Duration{ 9'000 }, false });
+    m_fleet.NoteThroughput({ "ar1", 60'000, Duration{ 9'000 }, false });
   }
   EXPECT_EQ(Must(Long(5)).m_expectedMs, before);
 }
 
-TEST_F(FleetReadersTest, TheOutputNeedsEnginesBySlotsAndByMemory)
+TEST_F(FleetDisaggregatedTest, TheOutputNeedsDecodeEnginesBySlotsAndByCache)
 {
   EngineTraits traits;
   traits.m_slots = 64;
   for (int i = 0; i < 96; ++i) {
     m_fleet.NoteSent("ag", 0, kNow);
   }
-  EXPECT_NEAR(m_fleet.GeneratorsNeeded("llm", traits), 2, 0.01);
+  EXPECT_NEAR(m_fleet.DecodeEnginesNeeded("llm", traits), 2, 0.01);
   for (int i = 0; i < 200; ++i) {
     m_fleet.NotePrompt("llm", *Long(1).m_prompt, Duration{ 200 });
   }
   traits.m_cacheTokens = 470'000;
-  EXPECT_NEAR(m_fleet.GeneratorsNeeded("llm", traits), 4.7, 0.1);
+  EXPECT_NEAR(m_fleet.DecodeEnginesNeeded("llm", traits), 4.7, 0.1);
 }
 
-TEST_F(FleetReadersTest, APlaceIsAReaderAndATakerThatAreSound)
+TEST_F(FleetDisaggregatedTest,
+       APlaceHasASoundPrefillEngineAndASoundDecodeEngine)
 {
   EXPECT_TRUE(rc::check("any load of the engines", [this] {
     Fleet fleet = m_fleet;
@@ -334,14 +341,14 @@
       fleet.NoteSent(id, *rc::gen::inRange<std::int64_t>(0, 90'000), kNow);
     }
     fleet.MarkLeaving({ "br1" });
-    fleet.SetNews("peer", { { Fleet::ShortHash("br2"), std::nullopt } });
+    fleet.SetRoleUpdates("peer", { { Fleet::ShortHash("br2"), std::nullopt } });
     PlaceRequest request = *rc::gen::arbitrary<bool>() ? Short() : Long(3);
     request.m_random = *rc::gen::arbitrary<std::uint64_t>();
     const PlaceResult result = fleet.FindPlace(request, kNow);
     if (const auto* place = std::get_if<Place>(&result)) {
       RC_ASSERT(place->m_upstream == "ag" || place->m_upstream == "bg");
-      RC_ASSERT(place->m_reader != "br1");
-      RC_ASSERT(place->m_reader != "br2");
+      RC_ASSERT(place->m_prefillEngine != "br1");
+      RC_ASSERT(place->m_prefillEngine != "br2");
       RC_ASSERT(place->m_work > 0);
     }
   }));
--- a/packages/relay/tests/FleetFixture.h
+++ b/packages/relay/tests/FleetFixture.h
@@ -11,14 +11,16 @@
 inline constexpr Duration kGrace{ 2000 };
 
 inline Member
-MakeMember(std::string aId, std::string aService, Part aPart = Part::Whole)
+MakeMember(std::string aId,
+           std::string aService,
+           UpstreamRole aPart = UpstreamRole::Plain)
 {
   Member out;
   out.m_id = std::move(aId);
   out.m_service = std::move(aService);
   out.m_hall = "hall";
   out.m_address = "10.0.0.1:80";
-  out.m_part = aPart;
+  out.m_role = aPart;
   return out;
 }
 
@@ -67,10 +69,12 @@
     m_fleet.Put(MakeMember("a", "desk"));
     m_fleet.Put(MakeMember("b", "desk"));
     for (int i = 0; i < 8; ++i) {
-      m_fleet.Put(MakeMember("g" + std::to_string(i), "llm", Part::Generate));
+      m_fleet.Put(
+        MakeMember("g" + std::to_string(i), "llm", UpstreamRole::Decode));
     }
     for (int i = 0; i < 4; ++i) {
-      m_fleet.Put(MakeMember("p" + std::to_string(i), "llm", Part::Prefill));
+      m_fleet.Put(
+        MakeMember("p" + std::to_string(i), "llm", UpstreamRole::Prefill));
     }
   }
 
--- a/packages/relay/tests/FleetHerdTest.cpp
+++ b/packages/relay/tests/FleetHerdTest.cpp
@@ -38,8 +38,10 @@
   {
     for (int i = 0; i < kEngines; ++i) {
       const bool reads = i % 3 == 0;
-      Member member = MakeMember(
-        "e" + std::to_string(i), "llm", reads ? Part::Prefill : Part::Generate);
+      Member member =
+        MakeMember("e" + std::to_string(i),
+                   "llm",
+                   reads ? UpstreamRole::Prefill : UpstreamRole::Decode);
       member.m_slots = 12;
       member.m_hall = "hall" + std::to_string(i % 5);
       m_fleet.Put(member);
@@ -49,11 +51,11 @@
       m_loads.push_back(
         { Fleet::ShortHash("e" + std::to_string(i)), 1, 1000 + i % 7 });
     }
-    m_fleet.SetOther("others", m_loads);
+    m_fleet.SetPeerLoads("others", m_loads);
   }
 
   Fleet m_fleet;
-  std::vector<OtherLoad> m_loads;
+  std::vector<PeerLoad> m_loads;
 };
 
 TEST_P(FleetHerdTest, NoEngineGetsMuchMoreThanTheOthers)
--- a/packages/relay/tests/FleetSizeTest.cpp
+++ b/packages/relay/tests/FleetSizeTest.cpp
@@ -30,7 +30,7 @@
   PlaceRequest out = LongRequest(7);
   out.m_prompt = LongPrompt(aOwn);
   out.m_typical = LongPrompt(aTypicalOwn);
-  out.m_patience = aPatience;
+  out.m_admissionBound = aPatience;
   out.m_pause = Duration{ 150 };
   out.m_shortestAim = aPatience;
   out.m_left = Duration{ 2000 };
@@ -64,7 +64,7 @@
 struct WayCase
 {
   const char* m_name;
-  bool m_readsApart;
+  bool m_isDisaggregated;
 };
 
 class FleetSizeTest
@@ -74,8 +74,8 @@
 protected:
   void SetUp() override
   {
-    if (GetParam().m_readsApart) {
-      m_fleet.RecallApart({ Fleet::ShortHash("llm") });
+    if (GetParam().m_isDisaggregated) {
+      m_fleet.RestoreDisaggregatedServices({ Fleet::ShortHash("llm") });
     }
   }
 };
@@ -86,7 +86,7 @@
     Fleet fleet = m_fleet;
     const int pace = *rc::gen::inRange(60, 400);
     for (int i = 0; i < 9; ++i) {
-      fleet.NotePace(
+      fleet.NoteThroughput(
         { "p0", pace * std::int64_t{ 100 }, Duration{ 115 }, true });
     }
     LoadAll(fleet, *rc::gen::inRange(0, 60'000));
@@ -109,7 +109,7 @@
   EXPECT_TRUE(HasPlace(m_fleet, RequestOf(16'000, 2900, patience)));
 }
 
-TEST_P(FleetSizeTest, OneThatNoEngineReadsInItsTimeIsTooLarge)
+TEST_P(FleetSizeTest, APromptThatNoEngineCanPrefillInTimeIsTooLarge)
 {
   PlaceRequest request = RequestOf(400'000, 2900, Duration{ 140 });
   request.m_untilGivenUp = Duration{ 1000 };
@@ -117,7 +117,7 @@
   ASSERT_NE(CauseOf(result), nullptr);
   EXPECT_EQ(*CauseOf(result), NoPlaceCause::TooLarge);
   // A call that another upstream has begun already is continued in any case.
-  request.m_patience = Duration::max();
+  request.m_admissionBound = Duration::max();
   EXPECT_TRUE(HasPlace(m_fleet, request));
 }
 
--- a/packages/relay/tests/FleetTest.cpp
+++ b/packages/relay/tests/FleetTest.cpp
@@ -37,7 +37,7 @@
   EXPECT_TRUE(m_fleet.Find("a")->m_leaving);
 }
 
-TEST_F(FleetTest, AMemberAtWhoseAddressAnotherAnswersRestsAtOnce)
+TEST_F(FleetTest, AMemberAtWhoseAddressAnotherAnswersIsEjectedAtOnce)
 {
   m_fleet.NoteSent("a", 0, kNow);
   m_fleet.NoteEnded("a", 0, AttemptEnd::Displaced, Duration{ 5 }, kNow);
@@ -78,22 +78,22 @@
 {
   m_fleet.NoteSent("a", 0, kNow);
   EXPECT_EQ(MustFind(m_fleet, PlainRequest()).m_upstream, "b");
-  m_fleet.SetOther("peer", { { Fleet::ShortHash("b"), 4, 0 } });
+  m_fleet.SetPeerLoads("peer", { { Fleet::ShortHash("b"), 4, 0 } });
   EXPECT_EQ(MustFind(m_fleet, PlainRequest()).m_upstream, "a");
-  m_fleet.SetOther("peer", {});
+  m_fleet.SetPeerLoads("peer", {});
   EXPECT_EQ(MustFind(m_fleet, PlainRequest()).m_upstream, "b");
 }
 
-TEST_F(FleetTest, LoadsToldBeforeTheMemberWasListedCount)
+TEST_F(FleetTest, LoadsReportedBeforeTheMemberWasListedCount)
 {
-  m_fleet.SetOther("peer", { { Fleet::ShortHash("c"), 50, 0 } });
+  m_fleet.SetPeerLoads("peer", { { Fleet::ShortHash("c"), 50, 0 } });
   m_fleet.Put(MakeMember("c", "desk"));
   EXPECT_NE(MustFind(m_fleet, PlainRequest()).m_upstream, "c");
 }
 
-TEST_F(FleetTest, AMemberThatFailsInARowRests)
+TEST_F(FleetTest, AMemberThatFailsRepeatedlyIsEjected)
 {
-  Fail(m_fleet, "a", Fleet::kFailuresToRest);
+  Fail(m_fleet, "a", Fleet::kFailuresToEject);
   for (int i = 0; i < 20; ++i) {
     // However loaded `b` is, `a` stays ejected.
     m_fleet.NoteSent("b", 0, kNow);
@@ -101,7 +101,7 @@
   EXPECT_EQ(MustFind(m_fleet, PlainRequest()).m_upstream, "b");
 }
 
-TEST_F(FleetTest, ALapsedMemberStaysForItsGrace)
+TEST_F(FleetTest, AnExpiredMemberStaysForItsGracePeriod)
 {
   m_fleet.Drop("b", kNow + kGrace);
   m_fleet.Tick(kNow + kGrace - Duration{ 1 });
@@ -113,7 +113,7 @@
 // `Tick` runs some time after a grace period has ended, and a leaving upstream
 // may get new calls for two seconds only. The member must therefore get no
 // calls from the end of the grace period on, even before `Tick` removes it.
-TEST_F(FleetTest, ALapsedMemberGetsNothingFromItsGracesEndOn)
+TEST_F(FleetTest, AnExpiredMemberGetsNoCallsAfterItsGracePeriod)
 {
   const std::vector<std::string> excluded{ "a" };
   PlaceRequest request = PlainRequest();
@@ -128,15 +128,15 @@
 
 // Instances of a data centre report that its rows cannot have expired. Such a
 // bound shortens a grace period, and must never start or lengthen one.
-TEST_F(FleetTest, AGraceIsBoundedForTheMembersOfOneHall)
+TEST_F(FleetTest, AGracePeriodIsBoundedForTheMembersOfOneDataCentre)
 {
   const std::string hall = m_fleet.Find("b")->m_hall;
   m_fleet.Drop("b", kNow + kGrace);
-  m_fleet.BoundGraces("another", kNow);
-  m_fleet.BoundGraces(hall, kNow + kGrace * 2);
+  m_fleet.BoundGracePeriods("another", kNow);
+  m_fleet.BoundGracePeriods(hall, kNow + kGrace * 2);
   m_fleet.Tick(kNow + kGrace - Duration{ 1 });
   EXPECT_NE(m_fleet.Find("b"), nullptr);
-  m_fleet.BoundGraces(hall, kNow);
+  m_fleet.BoundGracePeriods(hall, kNow);
   m_fleet.Tick(kNow);
   EXPECT_EQ(m_fleet.Find("b"), nullptr);
   EXPECT_NE(m_fleet.Find("a"), nullptr);
@@ -148,7 +148,7 @@
   EXPECT_EQ(m_fleet.Find("b"), nullptr);
 }
 
-TEST_F(FleetTest, AMemberListedAgainInItsGraceStays)
+TEST_F(FleetTest, AMemberListedAgainInItsGracePeriodStays)
 {
   m_fleet.Drop("b", kNow + kGrace);
   m_fleet.Put(MakeMember("b", "desk"));
@@ -158,7 +158,7 @@
 
 // A member that announced that it is leaving was not removed because its row
 // expired, so it gets no grace period.
-TEST_F(FleetTest, ALeavingMemberHasNoGrace)
+TEST_F(FleetTest, ALeavingMemberHasNoGracePeriod)
 {
   Member leaving = MakeMember("b", "desk");
   leaving.m_leaving = true;
@@ -167,21 +167,23 @@
   EXPECT_EQ(m_fleet.Find("b"), nullptr);
 }
 
-TEST_F(FleetTest, AChainHasOneHomeThatAllAgreeOn)
+TEST_F(FleetTest, InstancesAgreeOnTheAffinityTargetOfAChain)
 {
   Fleet other;
   for (int i = 7; i >= 0; --i) {
-    other.Put(MakeMember("g" + std::to_string(i), "llm", Part::Generate));
+    other.Put(MakeMember("g" + std::to_string(i), "llm", UpstreamRole::Decode));
   }
   for (int i = 0; i < 4; ++i) {
-    other.Put(MakeMember("p" + std::to_string(i), "llm", Part::Prefill));
+    other.Put(
+      MakeMember("p" + std::to_string(i), "llm", UpstreamRole::Prefill));
   }
   std::set<std::string> used;
   for (std::uint64_t chain = 1; chain <= 200; ++chain) {
     const Place mine = MustFind(m_fleet, LongRequest(chain));
     const Place theirs = MustFind(other, LongRequest(chain));
     const auto home = [](const Place& aPlace) {
-      return aPlace.m_reader.empty() ? aPlace.m_upstream : aPlace.m_reader;
+      return aPlace.m_prefillEngine.empty() ? aPlace.m_upstream
+                                            : aPlace.m_prefillEngine;
     };
     EXPECT_EQ(home(mine), home(theirs));
     used.insert(home(mine));
@@ -190,56 +192,57 @@
 }
 
 std::string
-ReaderOf(const Place& aPlace)
+PrefillEngineOf(const Place& aPlace)
 {
-  return aPlace.m_reader.empty() ? aPlace.m_upstream : aPlace.m_reader;
+  return aPlace.m_prefillEngine.empty() ? aPlace.m_upstream
+                                        : aPlace.m_prefillEngine;
 }
 
 /**
  * The work queued at a prompt's affinity target, and whether the prompt is
  * prefilled there all the same.
  */
-struct HomeCase
+struct AffinityCase
 {
   const char* m_name;
-  std::int64_t m_tokensAtHome;
-  bool m_readAtHome;
+  std::int64_t m_tokensAtTarget;
+  bool m_isPrefilledAtTarget;
 };
 
-class HomeTest
+class AffinityTest
   : public FleetTest
-  , public ::testing::WithParamInterface<HomeCase>
+  , public ::testing::WithParamInterface<AffinityCase>
 {};
 
-TEST_P(HomeTest, IsLeftOnlyWhenItIsMuchLater)
+TEST_P(AffinityTest, IsLeftOnlyWhenItIsMuchLater)
 {
-  const std::string home = ReaderOf(MustFind(m_fleet, LongRequest(3)));
-  m_fleet.NoteSent(home, GetParam().m_tokensAtHome, kNow);
+  const std::string home = PrefillEngineOf(MustFind(m_fleet, LongRequest(3)));
+  m_fleet.NoteSent(home, GetParam().m_tokensAtTarget, kNow);
   PlaceRequest request = LongRequest(3);
   for (request.m_random = 0; request.m_random < 50; ++request.m_random) {
-    EXPECT_EQ(ReaderOf(MustFind(m_fleet, request)) == home,
-              GetParam().m_readAtHome);
+    EXPECT_EQ(PrefillEngineOf(MustFind(m_fleet, request)) == home,
+              GetParam().m_isPrefilledAtTarget);
   }
 }
 
 INSTANTIATE_TEST_SUITE_P(
   Loads,
-  HomeTest,
-  ::testing::Values(HomeCase{ "Nothing", 0, true },
-                    HomeCase{ "OnePromptOrTwo", 3'000, true },
-                    HomeCase{ "AQueue", 60'000, false }),
+  AffinityTest,
+  ::testing::Values(AffinityCase{ "Nothing", 0, true },
+                    AffinityCase{ "OnePromptOrTwo", 3'000, true },
+                    AffinityCase{ "AQueue", 60'000, false }),
   [](const auto& aInfo) { return std::string(aInfo.param.m_name); });
 
 // Guards against herding: instances that see the same loads must not all choose
 // the same engine.
-TEST_F(FleetTest, PromptsWhoseHomeIsBusySpreadOverOthers)
+TEST_F(FleetTest, PromptsWithABusyAffinityTargetSpreadOverOtherEngines)
 {
-  const std::string home = ReaderOf(MustFind(m_fleet, LongRequest(3)));
+  const std::string home = PrefillEngineOf(MustFind(m_fleet, LongRequest(3)));
   m_fleet.NoteSent(home, 60'000, kNow);
   std::set<std::string> used;
   PlaceRequest request = LongRequest(3);
   for (request.m_random = 0; request.m_random < 200; ++request.m_random) {
-    used.insert(ReaderOf(MustFind(m_fleet, request)));
+    used.insert(PrefillEngineOf(MustFind(m_fleet, request)));
   }
   EXPECT_GE(used.size(), 4U);
 }
@@ -247,11 +250,11 @@
 // The number of running calls changes within seconds. If the affinity target of
 // a prefix changed with it, the prefix would have to be prefilled anew each
 // time.
-TEST_F(FleetTest, HomesStayWhenMoreEnginesAreKeptQuiet)
+TEST_F(FleetTest, AffinityTargetsStayWhenMoreEnginesAreReserved)
 {
   std::map<std::uint64_t, std::string> before;
   for (std::uint64_t chain = 1; chain <= 100; ++chain) {
-    before[chain] = ReaderOf(MustFind(m_fleet, LongRequest(chain)));
+    before[chain] = PrefillEngineOf(MustFind(m_fleet, LongRequest(chain)));
   }
   for (int i = 0; i < 8; ++i) {
     for (int call = 0; call < 100; ++call) {
@@ -259,7 +262,7 @@
     }
   }
   for (const auto& [chain, home] : before) {
-    EXPECT_TRUE(m_fleet.IsHome(*LongRequest(chain).m_prompt, home));
+    EXPECT_TRUE(m_fleet.HasPrefixAffinity(*LongRequest(chain).m_prompt, home));
   }
 }
 
@@ -289,7 +292,7 @@
       "llm", *LongRequest(1).m_prompt, 50, Duration{ took }, now);
   }
   PlaceRequest request = LongRequest(1);
-  request.m_patience = Duration{ 100 };
+  request.m_admissionBound = Duration{ 100 };
   const PlaceResult result = m_fleet.FindPlace(request, now);
   EXPECT_EQ(std::holds_alternative<PlaceFault>(result), GetParam().m_refused);
 }
@@ -314,19 +317,19 @@
   for (int i = 0; i < 10; ++i) {
     m_fleet.NoteFirstToken("llm", longPrompt, 50, Duration{ 500 }, kNow);
   }
-  request.m_patience = Duration{ 100 };
+  request.m_admissionBound = Duration{ 100 };
   EXPECT_TRUE(
     std::holds_alternative<PlaceFault>(m_fleet.FindPlace(request, kNow)));
   request.m_prompt = Prompt{ 1, 80, 140, 90 };
   EXPECT_TRUE(std::holds_alternative<Place>(m_fleet.FindPlace(request, kNow)));
 }
 
-TEST_F(FleetTest, WhatEveryEngineKeepsIsNotCountedAnywhere)
+TEST_F(FleetTest, TokensThatEveryEngineCachesAreNotCounted)
 {
   Prompt prompt = *LongRequest(1).m_prompt;
   prompt.m_commonTokens = 2500;
-  EXPECT_EQ(Fleet::TokensToRead(prompt, false), 3000 + 6000 - 2500);
-  EXPECT_EQ(Fleet::TokensToRead(prompt, true), 3000);
+  EXPECT_EQ(Fleet::TokensToPrefill(prompt, false), 3000 + 6000 - 2500);
+  EXPECT_EQ(Fleet::TokensToPrefill(prompt, true), 3000);
 }
 
 TEST_F(FleetTest, APromptThatWouldComeTooLateIsRefusedWithATime)
@@ -338,22 +341,22 @@
     m_fleet.NoteSent("p" + std::to_string(i), 100'000, kNow);
   }
   PlaceRequest request = LongRequest(5);
-  request.m_patience = Duration{ 180 };
+  request.m_admissionBound = Duration{ 180 };
   const PlaceResult result = m_fleet.FindPlace(request, kNow);
   const auto* fault = std::get_if<PlaceFault>(&result);
   ASSERT_NE(fault, nullptr);
   EXPECT_EQ(fault->m_cause, NoPlaceCause::Full);
   EXPECT_GT(fault->m_roomIn.count(), 0);
-  request.m_patience = Duration{ 10'000 };
+  request.m_admissionBound = Duration{ 10'000 };
   EXPECT_TRUE(std::holds_alternative<Place>(m_fleet.FindPlace(request, kNow)));
 }
 
-TEST_F(FleetTest, AReaderIsNeverAskedToGenerate)
+TEST_F(FleetTest, APrefillEngineIsNeverAskedToDecode)
 {
   EXPECT_TRUE(rc::check("any load of the two engines", [] {
     Fleet fleet;
-    fleet.Put(MakeMember("g", "llm", Part::Generate));
-    fleet.Put(MakeMember("p", "llm", Part::Prefill));
+    fleet.Put(MakeMember("g", "llm", UpstreamRole::Decode));
+    fleet.Put(MakeMember("p", "llm", UpstreamRole::Prefill));
     fleet.NoteSent("g", *rc::gen::inRange<std::int64_t>(0, 500'000), kNow);
     fleet.NoteSent("p", *rc::gen::inRange<std::int64_t>(0, 500'000), kNow);
     PlaceRequest request = LongRequest(*rc::gen::inRange(1, 1000));
@@ -362,7 +365,7 @@
     const auto* place = std::get_if<Place>(&result);
     RC_ASSERT(place != nullptr);
     RC_ASSERT(place->m_upstream == "g");
-    RC_ASSERT(place->m_reader.empty() || place->m_reader == "p");
+    RC_ASSERT(place->m_prefillEngine.empty() || place->m_prefillEngine == "p");
   }));
 }
 
@@ -370,7 +373,7 @@
  * A row for an id whose incarnation with start time 1,000 had announced that it
  * is leaving, and whether the member gets calls afterwards.
  */
-struct LifeCase
+struct IncarnationCase
 {
   const char* m_name;
   std::optional<std::int64_t> m_born;
@@ -379,12 +382,12 @@
   bool m_isUsed;
 };
 
-class FleetLifeTest
+class FleetIncarnationTest
   : public FleetTest
-  , public ::testing::WithParamInterface<LifeCase>
+  , public ::testing::WithParamInterface<IncarnationCase>
 {};
 
-TEST_P(FleetLifeTest, ALaterLifeIsNewAndAnEarlierOneStaysGone)
+TEST_P(FleetIncarnationTest, ALaterIncarnationIsNewAndAnEarlierOneStaysRemoved)
 {
   Member member = MakeMember("c", "alone");
   member.m_born = 1000;
@@ -404,19 +407,27 @@
 
 INSTANTIATE_TEST_SUITE_P(
   Lives,
-  FleetLifeTest,
+  FleetIncarnationTest,
   ::testing::Values(
-    LifeCase{ "Later", 2000, false, LifeOrder::Later, true },
-    LifeCase{ "LaterAfterItHadGone", 2000, true, LifeOrder::Later, true },
-    LifeCase{ "Same", 1000, false, LifeOrder::Same, false },
-    LifeCase{ "SameAfterALapse", 1000, true, LifeOrder::Same, true },
-    LifeCase{ "Earlier", 900, false, LifeOrder::Earlier, false },
-    LifeCase{ "EarlierAfterItHadGone", 900, true, LifeOrder::Earlier, false },
-    LifeCase{ "NotSaid", {}, false, LifeOrder::Same, false }),
+    IncarnationCase{ "Later", 2000, false, LifeOrder::Later, true },
+    IncarnationCase{ "LaterAfterItHadGone",
+                     2000,
+                     true,
+                     LifeOrder::Later,
+                     true },
+    IncarnationCase{ "Same", 1000, false, LifeOrder::Same, false },
+    IncarnationCase{ "SameAfterALapse", 1000, true, LifeOrder::Same, true },
+    IncarnationCase{ "Earlier", 900, false, LifeOrder::Earlier, false },
+    IncarnationCase{ "EarlierAfterItHadGone",
+                     900,
+                     true,
+                     LifeOrder::Earlier,
+                     false },
+    IncarnationCase{ "NotSaid", {}, false, LifeOrder::Same, false }),
   [](const auto& aInfo) { return std::string(aInfo.param.m_name); });
 
 // Calls and failures of an earlier incarnation must not affect the later one.
-TEST_F(FleetTest, ALaterLifeHasNoneOfWhatWasFoundOfTheEarlierOne)
+TEST_F(FleetTest, ALaterIncarnationInheritsNothingFromTheEarlierOne)
 {
   Member member = MakeMember("c", "alone");
   member.m_born = 1000;
@@ -424,7 +435,7 @@
   PlaceRequest request = PlainRequest();
   request.m_service = "alone";
   m_fleet.NoteSent("c", 0, kNow);
-  m_fleet.NoteOutOfReach("c", kNow);
+  m_fleet.NoteUnreachable("c", kNow);
   EXPECT_FALSE(std::holds_alternative<Place>(m_fleet.FindPlace(request, kNow)));
   member.m_born = 2000;
   m_fleet.Put(member);
@@ -432,7 +443,7 @@
   EXPECT_TRUE(m_fleet.OwnLoads().empty());
 }
 
-TEST_F(FleetTest, APeersWordOfLeavingIsOfOneLife)
+TEST_F(FleetTest, ALeavingAnnouncementAppliesToOneIncarnation)
 {
   Member member = MakeMember("c", "alone");
   member.m_born = 2000;
@@ -446,7 +457,7 @@
 // Applies rows, removals and leaving announcements of four incarnations in any
 // order. The member must always be the latest incarnation that was seen, and
 // only that one's own announcement counts.
-TEST(FleetLifeWorldTest, TheLatestLifeIsHeldInAnyOrderOfWords)
+TEST(FleetIncarnationWorldTest, TheLatestIncarnationIsKnownInAnyOrderOfMessages)
 {
   EXPECT_TRUE(rc::check("lives", [] {
     Fleet fleet;
--- a/packages/relay/tests/FleetSilenceTest.cpp
+++ b/packages/relay/tests/FleetUnresponsiveTest.cpp
@@ -6,35 +6,35 @@
 namespace {
 
 /** What happened between a call to member `a` and a later placement. */
-struct SilenceCase
+struct UnresponsiveCase
 {
   const char* m_name;
-  Duration m_since; ///< Time from the call to the placement.
-  bool m_heard;     ///< Whether `a` has sent bytes in the meantime.
+  Duration m_since;    ///< Time from the call to the placement.
+  bool m_hasResponded; ///< Whether `a` has sent bytes in the meantime.
   /** Whether member `b` leaves its calls unanswered too. */
-  bool m_otherIsSilent;
+  bool m_otherIsUnresponsive;
   bool m_mayBeChosen;
 };
 
-class FleetSilenceTest
+class FleetUnresponsiveTest
   : public FleetTest
-  , public ::testing::WithParamInterface<SilenceCase>
+  , public ::testing::WithParamInterface<UnresponsiveCase>
 {};
 
-TEST_P(FleetSilenceTest, NothingMoreGoesThereWhileOthersAreSound)
+TEST_P(FleetUnresponsiveTest, UnresponsiveMembersGetNoCallsWhileOthersAreSound)
 {
   m_fleet.NoteSent("a", 0, kNow);
-  if (GetParam().m_heard) {
-    m_fleet.NoteHeard("a");
+  if (GetParam().m_hasResponded) {
+    m_fleet.NoteResponse("a");
   }
-  if (GetParam().m_otherIsSilent) {
+  if (GetParam().m_otherIsUnresponsive) {
     m_fleet.NoteSent("b", 0, kNow);
   }
   // Member `b` has so many calls that `a` is the better place.
   for (int i = 0; i < 5; ++i) {
     m_fleet.NoteSent("b", 0, kNow);
-    if (!GetParam().m_otherIsSilent) {
-      m_fleet.NoteHeard("b");
+    if (!GetParam().m_otherIsUnresponsive) {
+      m_fleet.NoteResponse("b");
     }
   }
   const PlaceResult result =
@@ -46,16 +46,20 @@
 
 INSTANTIATE_TEST_SUITE_P(
   Cases,
-  FleetSilenceTest,
+  FleetUnresponsiveTest,
   ::testing::Values(
-    SilenceCase{ "JustSent", Duration{ 10 }, false, false, true },
-    SilenceCase{ "Silent", Fleet::kSilence, false, false, false },
-    SilenceCase{ "Heard", Fleet::kSilence, true, false, true },
-    SilenceCase{ "BothSilent", Fleet::kSilence, false, true, true }),
+    UnresponsiveCase{ "JustSent", Duration{ 10 }, false, false, true },
+    UnresponsiveCase{ "Silent", Fleet::kResponseTimeout, false, false, false },
+    UnresponsiveCase{ "Heard", Fleet::kResponseTimeout, true, false, true },
+    UnresponsiveCase{ "BothSilent",
+                      Fleet::kResponseTimeout,
+                      false,
+                      true,
+                      true }),
   [](const auto& aInfo) { return aInfo.param.m_name; });
 
 /** How an attempt ended whose member never sent any bytes. */
-class FleetSilentEndTest
+class FleetUnresponsiveEndTest
   : public FleetTest
   , public ::testing::WithParamInterface<AttemptEnd>
 {
@@ -74,25 +78,25 @@
   }
 };
 
-TEST_P(FleetSilentEndTest, RestsAtOnceAndIsThenAskedByOneCall)
+TEST_P(FleetUnresponsiveEndTest, IsEjectedAtOnceAndThenProbedByOneCall)
 {
   // Member `b` has so many calls that `a` is the better place.
   for (int i = 0; i < 5; ++i) {
     m_fleet.NoteSent("b", 0, kNow);
-    m_fleet.NoteHeard("b");
+    m_fleet.NoteResponse("b");
   }
   m_fleet.NoteSent("a", 0, kNow);
-  const Instant later = kNow + Fleet::kSilence;
-  m_fleet.NoteEnded("a", 0, GetParam(), Fleet::kSilence, later);
+  const Instant later = kNow + Fleet::kResponseTimeout;
+  m_fleet.NoteEnded("a", 0, GetParam(), Fleet::kResponseTimeout, later);
   // No call to `a` is unanswered any more.
-  EXPECT_FALSE(m_fleet.IsSilent("a", later));
+  EXPECT_FALSE(m_fleet.IsUnresponsive("a", later));
   EXPECT_FALSE(IsChosen(later));
-  const Instant rested = later + Fleet::kRest;
+  const Instant rested = later + Fleet::kEjectionTime;
   EXPECT_TRUE(IsChosen(rested));
   EXPECT_TRUE(m_fleet.NeedsOwnConnection("a", rested));
   m_fleet.NoteSent("a", 0, rested);
   EXPECT_FALSE(IsChosen(rested));
-  m_fleet.NoteHeard("a");
+  m_fleet.NoteResponse("a");
   m_fleet.NoteEnded("a", 0, AttemptEnd::Served, Duration{ 5 }, rested);
   m_fleet.NoteSent("a", 0, rested);
   // The probation has ended, so `a` gets more than one call at a time.
@@ -101,14 +105,14 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(Ends,
-                         FleetSilentEndTest,
+                         FleetUnresponsiveEndTest,
                          ::testing::Values(AttemptEnd::Failed,
                                            AttemptEnd::Abandoned));
 
-TEST_F(FleetTest, AMemberOutOfReachRestsAtOnce)
+TEST_F(FleetTest, AnUnreachableMemberIsEjectedAtOnce)
 {
   m_fleet.NoteSent("a", 0, kNow);
-  m_fleet.NoteOutOfReach("a", kNow);
+  m_fleet.NoteUnreachable("a", kNow);
   m_fleet.NoteEnded("a", 0, AttemptEnd::Failed, Duration{ 5 }, kNow);
   for (std::uint64_t draw = 0; draw < 10; ++draw) {
     PlaceRequest request = PlainRequest();
@@ -120,25 +124,25 @@
 // An engine in the prefill role sends nothing before it has processed
 // everything queued there. Guards against treating it as unresponsive
 // meanwhile.
-TEST_F(FleetTest, AnEngineMayBeSilentWhileItReads)
+TEST_F(FleetTest, AnEngineNeedNotRespondDuringPrefill)
 {
   constexpr Duration kReading{ 800 };
-  m_fleet.NotePace({ "p0", 60'000, Duration{ 1015 }, true });
+  m_fleet.NoteThroughput({ "p0", 60'000, Duration{ 1015 }, true });
   m_fleet.NoteSent("p0", 48'000, kNow);
-  EXPECT_FALSE(m_fleet.IsSilent("p0", kNow + kReading));
-  EXPECT_TRUE(m_fleet.IsSilent("p0", kNow + Fleet::kMostSilence));
+  EXPECT_FALSE(m_fleet.IsUnresponsive("p0", kNow + kReading));
+  EXPECT_TRUE(m_fleet.IsUnresponsive("p0", kNow + Fleet::kMaxResponseTimeout));
   m_fleet.NoteSent("p1", 0, kNow);
-  EXPECT_TRUE(m_fleet.IsSilent("p1", kNow + Fleet::kSilence));
+  EXPECT_TRUE(m_fleet.IsUnresponsive("p1", kNow + Fleet::kResponseTimeout));
 }
 
 // Members behind a network partition must not cost every caller on this side a
 // failed attempt, so the ejection time doubles.
-TEST_F(FleetTest, RestsDoubleUntilTheMemberIsHeard)
+TEST_F(FleetTest, EjectionTimesDoubleUntilTheMemberResponds)
 {
   Instant now = kNow;
   const auto restOf = [&] {
     m_fleet.NoteSent("a", 0, now);
-    m_fleet.NoteOutOfReach("a", now);
+    m_fleet.NoteUnreachable("a", now);
     m_fleet.NoteEnded("a", 0, AttemptEnd::Abandoned, Duration{ 5 }, now);
     const Instant began = now;
     PlaceRequest request = PlainRequest();
@@ -149,25 +153,25 @@
     }
     return now - began;
   };
-  EXPECT_EQ(restOf(), Fleet::kRest);
-  EXPECT_EQ(restOf(), Fleet::kRest);
-  EXPECT_EQ(restOf(), Fleet::kRest * 2);
-  EXPECT_EQ(restOf(), Fleet::kLongestRest);
-  EXPECT_EQ(restOf(), Fleet::kLongestRest);
-  m_fleet.NoteHeard("a");
-  EXPECT_EQ(restOf(), Fleet::kRest);
+  EXPECT_EQ(restOf(), Fleet::kEjectionTime);
+  EXPECT_EQ(restOf(), Fleet::kEjectionTime);
+  EXPECT_EQ(restOf(), Fleet::kEjectionTime * 2);
+  EXPECT_EQ(restOf(), Fleet::kMaxEjectionTime);
+  EXPECT_EQ(restOf(), Fleet::kMaxEjectionTime);
+  m_fleet.NoteResponse("a");
+  EXPECT_EQ(restOf(), Fleet::kEjectionTime);
 }
 
 // An engine that is changing roles refuses calls at once. Guards against
 // sending it all calls because it looks idle.
-TEST_F(FleetTest, AMemberThatRefusesInARowRests)
+TEST_F(FleetTest, AMemberThatRefusesRepeatedlyIsEjected)
 {
   for (int i = 0; i < 5; ++i) {
     m_fleet.NoteSent("b", 0, kNow); // Member `a` is the better place.
   }
   const auto refuse = [&] {
     m_fleet.NoteSent("a", 0, kNow);
-    m_fleet.NoteHeard("a");
+    m_fleet.NoteResponse("a");
     m_fleet.NoteEnded("a", 0, AttemptEnd::Declined, Duration{ 5 }, kNow);
   };
   refuse();
@@ -175,7 +179,7 @@
   refuse();
   EXPECT_EQ(MustFind(m_fleet, PlainRequest()).m_upstream, "b");
   const PlaceResult later =
-    m_fleet.FindPlace(PlainRequest(), kNow + Fleet::kDeclinedRest);
+    m_fleet.FindPlace(PlainRequest(), kNow + Fleet::kDeclinedEjectionTime);
   EXPECT_EQ(std::get<Place>(later).m_upstream, "a");
 }
 
--- a/packages/relay/tests/RelayFlowTest.cpp
+++ b/packages/relay/tests/RelayFlowTest.cpp
@@ -15,7 +15,7 @@
     Overloaded{
       [](const FindPlace&) { return std::string("find"); },
       [](const SendRead& aSend) {
-        return "read@" + aSend.m_reader + (aSend.m_repeat ? "!" : "");
+        return "read@" + aSend.m_prefillEngine + (aSend.m_repeat ? "!" : "");
       },
       [](const SendRun& aSend) {
         return "run@" + aSend.m_upstream +
--- a/packages/relay/tests/StoreGenerationTest.cpp
+++ b/packages/relay/tests/StoreGenerationTest.cpp
@@ -289,7 +289,7 @@
 /**
  * A known row, the row in a restored copy, and the rows that are reported then.
  */
-struct KeptCase
+struct CachedCase
 {
   const char* m_name;
   /** std::nullopt if the copy has no such row. */
@@ -300,7 +300,7 @@
   std::string m_kept;
 };
 
-class KeptRowTest : public ::testing::TestWithParam<KeptCase>
+class KeptRowTest : public ::testing::TestWithParam<CachedCase>
 {};
 
 TEST_P(KeptRowTest, OutlastsAnOlderCopyOnly)
@@ -324,13 +324,13 @@
 INSTANTIATE_TEST_SUITE_P(
   Copies,
   KeptRowTest,
-  ::testing::Values(KeptCase{ "Older", "4", kOfCopy, 0, "5" },
-                    KeptCase{ "Missing", std::nullopt, kOfCopy, 0, "5" },
-                    KeptCase{ "TheSame", "5", kOfCopy, 0, "5" },
-                    KeptCase{ "Newer", "6", kOfCopy, 1, "6" },
+  ::testing::Values(CachedCase{ "Older", "4", kOfCopy, 0, "5" },
+                    CachedCase{ "Missing", std::nullopt, kOfCopy, 0, "5" },
+                    CachedCase{ "TheSame", "5", kOfCopy, 0, "5" },
+                    CachedCase{ "Newer", "6", kOfCopy, 1, "6" },
                     // A peer has read only the copy and a later change.
-                    KeptCase{ "OlderAtAPeer", "4", PositionAt(60), 0, "5" },
-                    KeptCase{ "NewerAtAPeer", "6", PositionAt(60), 1, "6" }),
+                    CachedCase{ "OlderAtAPeer", "4", PositionAt(60), 0, "5" },
+                    CachedCase{ "NewerAtAPeer", "6", PositionAt(60), 1, "6" }),
   [](const auto& aInfo) { return std::string(aInfo.param.m_name); });
 
 } // namespace
