--- a/packages/entry/src/Entry.cpp
+++ b/packages/entry/src/Entry.cpp
@@ -10,7 +10,7 @@
 
 #include <algorithm>
 #include <csignal>
-#include <ridgeferry/relay/GoneUpstreams.h>
+#include <ridgeferry/relay/RemovedUpstreams.h>
 #include <sys/stat.h>
 
 namespace ridgeferry::entry {
@@ -67,7 +67,7 @@
   std::string m_file;
   std::optional<timespec> m_fileTime;
   StoreGenerations m_generations{ m_node };
-  relay::GoneUpstreams m_gone;
+  relay::RemovedUpstreams m_gone;
   /** Text of the configuration in force, and the latest store generation in
    * which it was seen. */
   std::string m_configText;
@@ -220,7 +220,7 @@
 Entry::Impl::TakeMembers(const relay::ApplyRows& aRows)
 {
   for (const relay::FollowedRow& row : aRows.m_rows) {
-    TakeMember(row, aRows.m_lapsesUntil, aRows.m_copyAfter.has_value());
+    TakeMember(row, aRows.m_graceUntil, aRows.m_positionBeforeCopy.has_value());
   }
   NoteReadiness();
   TellRead();
@@ -252,10 +252,11 @@
     return;
   }
   if (aIsCopy && m_gone.HoldBack(*member, m_node.Now())) {
-    m_node.m_log->Write(observe::LogLevel::Info,
-                        "upstream-held-back",
-                        { { "upstream", member->m_id },
-                          { "forMs", relay::GoneUpstreams::kHold.count() } });
+    m_node.m_log->Write(
+      observe::LogLevel::Info,
+      "upstream-held-back",
+      { { "upstream", member->m_id },
+        { "forMs", relay::RemovedUpstreams::kHold.count() } });
     return;
   }
   PutMember(*member);
@@ -324,7 +325,7 @@
   }
   const auto reads =
     member == nullptr ? std::nullopt : HallReadsSince(member->m_hall);
-  const auto until = relay::LapseGrace::Bounded(aLapsesUntil, reads, now);
+  const auto until = relay::ExpiryGrace::Bounded(aLapsesUntil, reads, now);
   m_node.m_fleet.Drop(aUpstream, until);
   m_peers->NoteGone(aUpstream);
   m_parts->NoteGone(aUpstream);
@@ -352,8 +353,8 @@
   }
   for (const std::string& hall : m_peers->Halls()) {
     if (const auto since = HallReadsSince(hall)) {
-      m_node.m_fleet.BoundGracePeriods(hall,
-                                       *since + relay::LapseGrace::kLapseTime);
+      m_node.m_fleet.BoundGracePeriods(
+        hall, *since + relay::ExpiryGrace::kGracePeriod);
     }
   }
 }
--- a/packages/entry/src/Peers.cpp
+++ b/packages/entry/src/Peers.cpp
@@ -138,7 +138,7 @@
   out.m_ready = m_ready;
   out.m_leaving = m_leaving;
   out.m_revision = m_node.m_routes == nullptr ? 0 : m_node.m_routes->Version();
-  for (const auto& [id, upstream] : m_news.Told()) {
+  for (const auto& [id, upstream] : m_news.Announced()) {
     out.m_leavingUpstreams.push_back(upstream);
   }
   out.m_store = m_storeView;
--- a/packages/entry/src/Peers.h
+++ b/packages/entry/src/Peers.h
@@ -8,7 +8,7 @@
 #include <ridgeferry/membership/StoreDuty.h>
 #include <ridgeferry/net/UdpSocket.h>
 #include <ridgeferry/relay/DataCentreLoads.h>
-#include <ridgeferry/relay/LeavingNews.h>
+#include <ridgeferry/relay/LeavingUpstreams.h>
 #include <set>
 #include <sigc++/sigc++.h>
 #include <span>
@@ -150,7 +150,7 @@
   std::uint64_t m_incarnation;
   bool m_ready = false;
   bool m_leaving = false;
-  relay::LeavingNews m_news;
+  relay::LeavingUpstreams m_news;
   membership::StoreView m_storeView;
   std::vector<relay::RoleUpdate> m_partNews;
   std::vector<membership::EndingDigest> m_endings;
--- a/packages/entry/src/StoreReader.cpp
+++ b/packages/entry/src/StoreReader.cpp
@@ -37,7 +37,7 @@
 void
 StoreReader::Start()
 {
-  Handle(relay::FollowBegan{});
+  Handle(relay::FollowStarted{});
 }
 
 void
@@ -59,7 +59,7 @@
 void
 StoreReader::Do(const relay::ReadTable& aAction)
 {
-  m_pagePatience = aAction.m_patience;
+  m_pagePatience = aAction.m_readTimeout;
   const Instant now = m_node.Now();
   if (!m_pages.empty() && now - m_pagesSince < kLongestPaging) {
     ReadNextPage();
@@ -93,7 +93,7 @@
   read.m_table = m_table;
   read.m_after = aAction.m_after;
   read.m_wait = aAction.m_wait;
-  Send(read, aAction.m_patience);
+  Send(read, aAction.m_readTimeout);
 }
 
 void
@@ -103,7 +103,7 @@
   net::HttpRequest request = m_node.m_dialect.m_writeStoreRead(aRead);
   request.m_address = m_node.m_settings.m_store;
   request.m_timeout = aPatience;
-  request.m_connectTimeout = relay::TableFollower::kStoreSlack;
+  request.m_connectTimeout = relay::TableFollower::kResponseMargin;
   request.m_fresh = m_distrustsKept;
   net::HttpCallbacks callbacks;
   callbacks.m_done = [this, aRead](const net::HttpResponse& aResponse) {
@@ -131,7 +131,7 @@
 void
 StoreReader::SetDuty(bool aOnDuty, bool aByPlace)
 {
-  Handle(relay::DutyChanged{ aOnDuty, aByPlace });
+  Handle(relay::PollingChanged{ aOnDuty, aByPlace });
 }
 
 void
@@ -144,7 +144,7 @@
 StoreReader::Do(const relay::AskPeer& aAction)
 {
   m_ask = m_node.m_loop->After(
-    Draw(aAction.m_within), [this, after = aAction.m_after] {
+    Draw(aAction.m_jitter), [this, after = aAction.m_after] {
       m_peers.Ask(
         m_kind, after, [this](std::optional<relay::TableSlice> aSlice) {
           if (aSlice) {
@@ -157,7 +157,7 @@
 }
 
 void
-StoreReader::Do(const relay::DropRead&)
+StoreReader::Do(const relay::CancelRead&)
 {
   m_node.m_http->Cancel(m_call);
   m_distrustsKept = true;
@@ -185,7 +185,7 @@
   std::visit(
     Overloaded{
       [&](StorePage& aPage) { TakePage(aRead, std::move(aPage), generation); },
-      [&](const StoreForgot&) { Handle(relay::HistoryGone{ generation }); },
+      [&](const StoreForgot&) { Handle(relay::HistoryLost{ generation }); },
       [&](const relay::ReadFailed& aFailed) { Handle(aFailed); },
     },
     answer);
@@ -227,14 +227,14 @@
 void
 StoreReader::Do(const relay::RetryLater& aAction)
 {
-  const Duration delay = aAction.m_delay + Draw(aAction.m_within);
+  const Duration delay = aAction.m_delay + Draw(aAction.m_jitter);
   m_retry = m_node.m_loop->After(delay, [this] { Handle(relay::RetryDue{}); });
 }
 
 void
 StoreReader::Do(const relay::ApplyRows& aAction)
 {
-  if (aAction.m_copyAfter) {
+  if (aAction.m_positionBeforeCopy) {
     TellCopy(aAction);
   }
   m_rows.emit(aAction);
@@ -243,7 +243,7 @@
 void
 StoreReader::TellCopy(const relay::ApplyRows& aRows)
 {
-  const StorePosition before = *aRows.m_copyAfter;
+  const StorePosition before = *aRows.m_positionBeforeCopy;
   const StorePosition now = m_follower.Position();
   const auto missing = std::count_if(
     aRows.m_rows.begin(),
--- a/packages/entry/src/StoreReader.h
+++ b/packages/entry/src/StoreReader.h
@@ -42,7 +42,7 @@
   void Do(const relay::ReadTable& aAction);
   void Do(const relay::ReadChanges& aAction);
   void Do(const relay::AskPeer& aAction);
-  void Do(const relay::DropRead& aAction);
+  void Do(const relay::CancelRead& aAction);
   void Do(const relay::RetryLater& aAction);
   void Do(const relay::ApplyRows& aAction);
   void Do(const relay::AnswerIsOld& aAction);
--- a/packages/relay/include/ridgeferry/relay/LapseGrace.h
+++ b/packages/relay/include/ridgeferry/relay/ExpiryGrace.h
@@ -21,7 +21,7 @@
  *
  * Decides only, without I/O; not thread-safe.
  */
-class LapseGrace
+class ExpiryGrace
 {
 public:
   /**
@@ -31,25 +31,25 @@
    * late. All grace periods have therefore ended three seconds after the
    * return; from then on, removals are final again.
    */
-  static constexpr Duration kLapseTime{ 2100 };
+  static constexpr Duration kGracePeriod{ 2100 };
   /**
    * For how long a removed row may only have expired after the last message in
    * which a peer reports an outage. That message arrives up to a second after
    * the peer's first answer.
    */
-  static constexpr Duration kPeerLapseTime{ 1400 };
+  static constexpr Duration kPeerGracePeriod{ 1400 };
   /**
    * Reads count as continuing up to this age of the last answer. The store
    * answers a read that it holds open after two seconds.
    */
-  static constexpr Duration kAnswerAge{ 2200 };
+  static constexpr Duration kMaxAnswerAge{ 2200 };
   /**
    * For how long a peer's report of steady reads is valid. Together with the
    * age of the answer that the report is based on, this is 3.2 s. Rows expire
    * after three missed renewals, at least 3.6 s, so no row can have expired
    * since that answer.
    */
-  static constexpr Duration kSteadyFor{ 1000 };
+  static constexpr Duration kSteadyReportLifetime{ 1000 };
 
   void NoteFailure(Instant aNow);
   /**
--- a/packages/relay/include/ridgeferry/relay/FollowedTable.h
+++ b/packages/relay/include/ridgeferry/relay/FollowedTable.h
@@ -99,7 +99,7 @@
 
 private:
   friend class FollowerState; // Used by the tests that enumerate states.
-  struct Kept
+  struct StoredRow
   {
     std::string m_value;
     std::uint64_t m_version = 0;
@@ -119,8 +119,8 @@
    * Returns the rows of a whole table, in which the known rows that are
    * retained replace the table's own.
    */
-  std::vector<FollowedRow> WithKept(std::span<const FollowedRow> aRows,
-                                    std::uint64_t aVersion) const;
+  std::vector<FollowedRow> WithRetained(std::span<const FollowedRow> aRows,
+                                        std::uint64_t aVersion) const;
   /**
    * Returns the rows that differ from those held here, and a removal for each
    * row held here that `aRows` lacks.
@@ -129,7 +129,7 @@
     std::span<const FollowedRow> aRows) const;
 
   KeepsKnown m_keeps;
-  std::map<std::string, Kept, std::less<>> m_rows;
+  std::map<std::string, StoredRow, std::less<>> m_rows;
   std::deque<Removal> m_removals; ///< In order of rising version.
   /** Individual changes at or before this version are no longer known. */
   std::uint64_t m_knowsAfter = 0;
--- a/packages/relay/include/ridgeferry/relay/LeavingNews.h
+++ b/packages/relay/include/ridgeferry/relay/LeavingUpstreams.h
@@ -18,7 +18,7 @@
  * not, and the set stays as small as the number of upstreams that are leaving
  * at the moment. Decides only, without I/O; not thread-safe.
  */
-class LeavingNews
+class LeavingUpstreams
 {
 public:
   /**
@@ -39,13 +39,13 @@
   void NoteGone(std::string_view aUpstream);
 
   /** Returns the upstreams to announce, by id. */
-  const std::map<std::string, UpstreamLife, std::less<>>& Told() const
+  const std::map<std::string, UpstreamLife, std::less<>>& Announced() const
   {
-    return m_told;
+    return m_announced;
   }
 
 private:
-  std::map<std::string, UpstreamLife, std::less<>> m_told;
+  std::map<std::string, UpstreamLife, std::less<>> m_announced;
 };
 
 } // namespace ridgeferry::relay
--- a/packages/relay/include/ridgeferry/relay/GoneUpstreams.h
+++ b/packages/relay/include/ridgeferry/relay/RemovedUpstreams.h
@@ -19,7 +19,7 @@
  * no more calls, and one that was wrongly taken as removed is used again after
  * `kHold`. Decides only, without I/O; not thread-safe.
  */
-class GoneUpstreams
+class RemovedUpstreams
 {
 public:
   /**
--- a/packages/relay/include/ridgeferry/relay/TableFollower.h
+++ b/packages/relay/include/ridgeferry/relay/TableFollower.h
@@ -3,8 +3,8 @@
 #include <cstdint>
 #include <optional>
 #include <ridgeferry/base/Time.h>
+#include <ridgeferry/relay/ExpiryGrace.h>
 #include <ridgeferry/relay/FollowedTable.h>
-#include <ridgeferry/relay/LapseGrace.h>
 #include <span>
 #include <string>
 #include <variant>
@@ -14,7 +14,7 @@
 
 // ---- events ----
 
-struct FollowBegan
+struct FollowStarted
 {};
 /**
  * The instance now knows which other instances exist, or that there are none.
@@ -43,7 +43,7 @@
  * requested position. Either it has discarded that history, or it never had
  * these changes in its present generation.
  */
-struct HistoryGone
+struct HistoryLost
 {
   StoreGeneration m_generation = 0;
 };
@@ -93,38 +93,38 @@
 /**
  * Sets whether this instance is one of those that poll the store continuously.
  */
-struct DutyChanged
+struct PollingChanged
 {
-  bool m_onDuty = true;
+  bool m_isPoller = true;
   /**
    * True if this instance is a designated poller: its rank among the instances
    * makes it one. False if it polls only because it hears from no instance
    * whose reads succeed.
    */
-  bool m_byPlace = true;
+  bool m_isDesignated = true;
 };
 
-using FollowEvent = std::variant<FollowBegan,
+using FollowEvent = std::variant<FollowStarted,
                                  PeersListed,
                                  PeerAnswered,
                                  PeerFailed,
                                  TableRead,
                                  ChangesRead,
-                                 HistoryGone,
+                                 HistoryLost,
                                  GenerationSeen,
                                  ReadFailed,
                                  RetryDue,
                                  PeerIsAhead,
                                  PeerLostStore,
                                  PeerReadsSteadily,
-                                 DutyChanged>;
+                                 PollingChanged>;
 
 // ---- actions ----
 
 struct ReadTable
 {
   /** A page that has not arrived within this time counts as a failed read. */
-  Duration m_patience{};
+  Duration m_readTimeout{};
 };
 /**
  * Asks the store for changes. The store holds the call open until a change
@@ -138,7 +138,7 @@
    * A read that is unanswered for this time counts as failed. Longer than
    * `m_wait`.
    */
-  Duration m_patience{};
+  Duration m_readTimeout{};
 };
 /**
  * Asks an instance that has read further than this one, or any instance if none
@@ -152,10 +152,10 @@
    * The question is sent at a random moment within this time. Instances that
    * ask later find more peers that already have the change.
    */
-  Duration m_within{};
+  Duration m_jitter{};
 };
 /** Cancels the read that is under way. */
-struct DropRead
+struct CancelRead
 {};
 /** Requests a `RetryDue` event after the delay. */
 struct RetryLater
@@ -166,7 +166,7 @@
    * that many instances that wait for the same thing do not ask at the same
    * moment.
    */
-  Duration m_within{};
+  Duration m_jitter{};
 };
 /** Applies rows that are new, changed or removed, in the store's order. */
 struct ApplyRows
@@ -177,14 +177,14 @@
    * row may only have expired and may come back. If std::nullopt, a removed row
    * is gone.
    */
-  std::optional<Instant> m_lapsesUntil;
+  std::optional<Instant> m_graceUntil;
   /**
    * Set only on the first rows of a new generation: the position of the table
    * before them. The store was restored from an older copy, so these
    * differences are not changes: a missing row has not necessarily been
    * removed, and a row that is present again may be out of date.
    */
-  std::optional<StorePosition> m_copyAfter = {};
+  std::optional<StorePosition> m_positionBeforeCopy = {};
 };
 /**
  * An answer was rejected because its position is older than that of the table
@@ -207,7 +207,7 @@
 using FollowAction = std::variant<ReadTable,
                                   ReadChanges,
                                   AskPeer,
-                                  DropRead,
+                                  CancelRead,
                                   RetryLater,
                                   ApplyRows,
                                   AnswerIsOld,
@@ -257,7 +257,7 @@
    * notices an unresponsive store well within the time in which a change must
    * be in force.
    */
-  static constexpr Duration kDutyWait{ 2000 };
+  static constexpr Duration kPollWait{ 2000 };
   /**
    * How long an instance that starts asks its peers before it reads the store.
    * A peer answers within a few milliseconds, and after a loss of all instances
@@ -265,7 +265,7 @@
    * poller waits for this time once more, until the pollers have read the
    * table.
    */
-  static constexpr Duration kStartPatience{ 500 };
+  static constexpr Duration kStartTimeout{ 500 };
   /** Number of peers that a starting instance asks one after the other. */
   static constexpr int kStartTries = 3;
   /**
@@ -273,19 +273,19 @@
    * the first report of a change. If all asked at once, they would all ask the
    * first peers that know the change.
    */
-  static constexpr Duration kAskWithin{ 250 };
+  static constexpr Duration kAskSpread{ 250 };
   /**
    * If no peer has delivered the change within this time after the first
    * report, the instance reads the store. The sum of this time, a poller's read
    * and the delivery of the report is below two seconds, the time in which a
    * change must be in force.
    */
-  static constexpr Duration kAskPatience{ 800 };
+  static constexpr Duration kAskPeerTimeout{ 800 };
   /**
    * Longest time on standby without a read of the store. It only matters if all
    * reports of changes are lost.
    */
-  static constexpr Duration kLongestRest{ 60'000 };
+  static constexpr Duration kStandbyTimeout{ 60'000 };
   /**
    * Pause after changes, so that changes made in quick succession are read
    * together. It is about a sixth of the time in which a change must be in
@@ -297,19 +297,19 @@
    * lost. The store answers all held reads at once; even a slow store does so
    * within this time.
    */
-  static constexpr Duration kBehindPatience{ 400 };
+  static constexpr Duration kBehindTimeout{ 400 };
   /**
    * How long the store may take to respond, beyond the time that it was asked
    * to hold the read. The store normally answers within milliseconds; this
    * allows for a store that is sixty times slower than usual.
    */
-  static constexpr Duration kStoreSlack{ 800 };
+  static constexpr Duration kResponseMargin{ 800 };
   /**
    * Time-out for one page of a whole table. After a loss of all instances,
    * hundreds of them read a megabyte each at the same moment, over links of
    * some megabits per second.
    */
-  static constexpr Duration kPageSlack{ 2500 };
+  static constexpr Duration kPageTimeout{ 2500 };
   /**
    * Shortest and longest time from the start of a read that fails to the start
    * of the next read, for designated pollers. A read that fails because the
@@ -325,8 +325,8 @@
    * designated pollers, the first of ten such instances notices the return
    * within 1.5 s on average, at one call every 3 s for each instance.
    */
-  static constexpr Duration kLeastStandby{ 1000 };
-  static constexpr Duration kMostStandby{ 4000 };
+  static constexpr Duration kMinStandbyRetry{ 1000 };
+  static constexpr Duration kMaxStandbyRetry{ 4000 };
 
   /** `aKeeps`: see `FollowedTable`. */
   explicit TableFollower(KeepsKnown aKeeps = {});
@@ -361,20 +361,20 @@
   friend class FollowerState; // Used by the tests that enumerate states.
   using Actions = std::vector<FollowAction>;
 
-  void On(const FollowBegan& aEvent, Instant aNow, Actions& aActions);
+  void On(const FollowStarted& aEvent, Instant aNow, Actions& aActions);
   void On(const PeersListed& aEvent, Instant aNow, Actions& aActions);
   void On(const PeerAnswered& aEvent, Instant aNow, Actions& aActions);
   void On(const PeerFailed& aEvent, Instant aNow, Actions& aActions);
   void On(const TableRead& aEvent, Instant aNow, Actions& aActions);
   void On(const ChangesRead& aEvent, Instant aNow, Actions& aActions);
-  void On(const HistoryGone& aEvent, Instant aNow, Actions& aActions);
+  void On(const HistoryLost& aEvent, Instant aNow, Actions& aActions);
   void On(const GenerationSeen& aEvent, Instant aNow, Actions& aActions);
   void On(const ReadFailed& aEvent, Instant aNow, Actions& aActions);
   void On(const RetryDue& aEvent, Instant aNow, Actions& aActions);
   void On(const PeerIsAhead& aEvent, Instant aNow, Actions& aActions);
   void On(const PeerLostStore& aEvent, Instant aNow, Actions& aActions);
   void On(const PeerReadsSteadily& aEvent, Instant aNow, Actions& aActions);
-  void On(const DutyChanged& aEvent, Instant aNow, Actions& aActions);
+  void On(const PollingChanged& aEvent, Instant aNow, Actions& aActions);
 
   void Ask(Instant aNow, Actions& aActions);
   /**
@@ -395,8 +395,8 @@
    * Called after an answer was accepted: starts the next read, or goes on
    * standby.
    */
-  void GoOn(Instant aNow, Actions& aActions);
-  void AskAnew(Instant aNow, Actions& aActions);
+  void ScheduleNextRead(Instant aNow, Actions& aActions);
+  void ReissueRead(Instant aNow, Actions& aActions);
   /**
    * Called when a peer is ahead while the whole table is still needed here, so
    * that this instance's own read may miss what the peer has read. Asks a peer
@@ -407,7 +407,7 @@
   void AskForTable(Instant aNow, Actions& aActions);
   /** Returns when to read again after a read that failed. */
   RetryLater NextTry(Instant aNow) const;
-  void Refuse(StorePosition aPosition, Actions& aActions);
+  void RejectAnswer(StorePosition aPosition, Actions& aActions);
   /**
    * Records the generation if it is later than any seen before. Returns whether
    * it is.
@@ -419,31 +419,31 @@
    */
   void FollowGeneration(Instant aNow, Actions& aActions);
   /** Returns the position after which peers are asked for changes. */
-  StorePosition AskedOfPeers() const;
+  StorePosition PositionForPeers() const;
   void NoteAnswer(Instant aNow, Actions& aActions);
 
   bool m_hasRead = false;
   bool m_needsTable = true;
-  LapseGrace m_grace;
-  bool m_onDuty = true;
-  bool m_onDutyByPlace = true;
-  bool m_asking = false; ///< True while a read of the store is under way.
+  ExpiryGrace m_grace;
+  bool m_isPoller = true;
+  bool m_isDesignatedPoller = true;
+  bool m_isReading = false; ///< True while a read of the store is under way.
   /** Position that the last read of changes was sent with. */
   StorePosition m_askedAfter;
-  Instant m_askedAt;         ///< Time when the last read began.
-  bool m_askingPeer = false; ///< True while a question to a peer is open.
+  Instant m_askedAt;           ///< Time when the last read began.
+  bool m_isAskingPeer = false; ///< True while a question to a peer is open.
   /** Number of unanswered questions to peers since the start. */
   int m_startTries = 0;
   /** True once the first `kStartTimeout` has passed without a table. */
-  bool m_hasWaited = false;
+  bool m_startTimedOut = false;
   /** True while no read is under way and none is due soon. */
-  bool m_resting = false;
+  bool m_isOnStandby = false;
   std::optional<Instant> m_behindSince;
   /** The peer's position for which a lost read was last cancelled and sent
    * again. */
-  StorePosition m_askedAnewFor;
+  StorePosition m_reissuedFor;
   /** True if `AnswerIsOld` was reported since an answer was last accepted. */
-  bool m_toldOld = false;
+  bool m_reportedOldAnswer = false;
   Duration m_retry = kFirstRetry;
   /** Time of the first read that failed. Only valid while the store is lost. */
   Instant m_lostAt;
--- a/packages/relay/src/LapseGrace.cpp
+++ b/packages/relay/src/ExpiryGrace.cpp
@@ -1,4 +1,4 @@
-#include "ridgeferry/relay/LapseGrace.h"
+#include "ridgeferry/relay/ExpiryGrace.h"
 
 #include <algorithm>
 #include <utility>
@@ -6,7 +6,7 @@
 namespace ridgeferry::relay {
 
 void
-LapseGrace::NoteFailure(Instant aNow)
+ExpiryGrace::NoteFailure(Instant aNow)
 {
   if (!std::exchange(m_lost, true)) {
     m_heardThrough = HearsOfSteady(aNow);
@@ -15,10 +15,10 @@
 }
 
 bool
-LapseGrace::NoteAnswer(Instant aNow)
+ExpiryGrace::NoteAnswer(Instant aNow)
 {
   // If two answers are far apart, nothing is known of the time between them.
-  if (!m_answersSince || aNow - m_lastAnswer > kAnswerAge) {
+  if (!m_answersSince || aNow - m_lastAnswer > kMaxAnswerAge) {
     m_answersSince = aNow;
   }
   m_lastAnswer = aNow;
@@ -26,75 +26,75 @@
     return false;
   }
   if (!m_heardThrough || !HearsOfSteady(aNow)) {
-    m_until = aNow + kLapseTime;
+    m_until = aNow + kGracePeriod;
   }
   return true;
 }
 
 void
-LapseGrace::NoteCopy(Instant aNow)
+ExpiryGrace::NoteCopy(Instant aNow)
 {
   m_answersSince.reset();
   m_peerSteadyAt.reset();
   m_heardThrough = false;
-  const Instant until = aNow + kLapseTime;
+  const Instant until = aNow + kGracePeriod;
   m_until = std::max(m_until.value_or(until), until);
 }
 
 void
-LapseGrace::NotePeerLost(Instant aNow)
+ExpiryGrace::NotePeerLost(Instant aNow)
 {
   if (IsSteady(aNow)) {
     // This instance reads steadily, so only the peer is cut off.
     return;
   }
   m_peerSteadyAt.reset();
-  const Instant until = aNow + kPeerLapseTime;
+  const Instant until = aNow + kPeerGracePeriod;
   m_until = std::max(m_until.value_or(until), until);
 }
 
 void
-LapseGrace::NotePeerSteady(Instant aNow)
+ExpiryGrace::NotePeerSteady(Instant aNow)
 {
   m_heardThrough = m_heardThrough && HearsOfSteady(aNow);
   m_peerSteadyAt = aNow;
 }
 
 bool
-LapseGrace::IsSteady(Instant aNow) const
+ExpiryGrace::IsSteady(Instant aNow) const
 {
-  return m_answersSince && aNow - m_lastAnswer <= kAnswerAge &&
-         m_lastAnswer - *m_answersSince >= kLapseTime;
+  return m_answersSince && aNow - m_lastAnswer <= kMaxAnswerAge &&
+         m_lastAnswer - *m_answersSince >= kGracePeriod;
 }
 
 std::optional<Duration>
-LapseGrace::ReadsFor(Instant aNow) const
+ExpiryGrace::ReadsFor(Instant aNow) const
 {
-  if (!m_answersSince || aNow - m_lastAnswer > kAnswerAge) {
+  if (!m_answersSince || aNow - m_lastAnswer > kMaxAnswerAge) {
     return std::nullopt;
   }
   return aNow - *m_answersSince;
 }
 
 std::optional<Instant>
-LapseGrace::Bounded(std::optional<Instant> aUntil,
-                    std::optional<Instant> aHallReadsSince,
-                    Instant aNow)
+ExpiryGrace::Bounded(std::optional<Instant> aUntil,
+                     std::optional<Instant> aHallReadsSince,
+                     Instant aNow)
 {
   if (aUntil && aHallReadsSince) {
-    aUntil = std::min(*aUntil, *aHallReadsSince + kLapseTime);
+    aUntil = std::min(*aUntil, *aHallReadsSince + kGracePeriod);
   }
   return aUntil && aNow < *aUntil ? aUntil : std::nullopt;
 }
 
 bool
-LapseGrace::HearsOfSteady(Instant aNow) const
+ExpiryGrace::HearsOfSteady(Instant aNow) const
 {
-  return m_peerSteadyAt && aNow - *m_peerSteadyAt < kSteadyFor;
+  return m_peerSteadyAt && aNow - *m_peerSteadyAt < kSteadyReportLifetime;
 }
 
 std::optional<Instant>
-LapseGrace::Until(Instant aNow) const
+ExpiryGrace::Until(Instant aNow) const
 {
   return m_until && aNow < *m_until ? m_until : std::nullopt;
 }
--- a/packages/relay/src/FollowedTable.cpp
+++ b/packages/relay/src/FollowedTable.cpp
@@ -30,8 +30,8 @@
 }
 
 std::vector<FollowedRow>
-FollowedTable::WithKept(std::span<const FollowedRow> aRows,
-                        std::uint64_t aVersion) const
+FollowedTable::WithRetained(std::span<const FollowedRow> aRows,
+                            std::uint64_t aVersion) const
 {
   if (!m_keeps) {
     return { aRows.begin(), aRows.end() };
@@ -86,7 +86,7 @@
 {
   assert(aPosition.m_generation >= m_position.m_generation);
   const std::uint64_t version = aPosition.m_version;
-  const std::vector<FollowedRow> rows = WithKept(aRows, version);
+  const std::vector<FollowedRow> rows = WithRetained(aRows, version);
   if (aPosition.m_generation > m_position.m_generation) {
     m_changed = 0; // `m_changed` belongs to the previous generation.
   }
--- a/packages/relay/src/GoneUpstreams.cpp
+++ b/packages/relay/src/RemovedUpstreams.cpp
@@ -1,15 +1,15 @@
-#include "ridgeferry/relay/GoneUpstreams.h"
+#include "ridgeferry/relay/RemovedUpstreams.h"
 
 namespace ridgeferry::relay {
 
 void
-GoneUpstreams::NoteGone(const UpstreamLife& aUpstream, Instant aNow)
+RemovedUpstreams::NoteGone(const UpstreamLife& aUpstream, Instant aNow)
 {
   m_gone.insert_or_assign(aUpstream.m_id, Gone{ aUpstream, aNow });
 }
 
 void
-GoneUpstreams::NoteChange(std::string_view aId)
+RemovedUpstreams::NoteChange(std::string_view aId)
 {
   if (const auto gone = m_gone.find(aId); gone != m_gone.end()) {
     m_gone.erase(gone);
@@ -20,7 +20,7 @@
 }
 
 bool
-GoneUpstreams::HoldBack(const Member& aMember, Instant aNow)
+RemovedUpstreams::HoldBack(const Member& aMember, Instant aNow)
 {
   const auto gone = m_gone.find(aMember.m_id);
   if (gone == m_gone.end()) {
@@ -37,7 +37,7 @@
 }
 
 std::vector<Member>
-GoneUpstreams::Tick(Instant aNow)
+RemovedUpstreams::Tick(Instant aNow)
 {
   std::erase_if(m_gone, [&](const auto& aEntry) {
     return aNow - aEntry.second.m_at >= kRemember &&
--- a/packages/relay/src/TableFollower.cpp
+++ b/packages/relay/src/TableFollower.cpp
@@ -21,32 +21,33 @@
 void
 TableFollower::Ask(Instant aNow, Actions& aActions)
 {
-  const bool isHeld = m_onDuty && !m_grace.IsLost();
-  Ask(aNow, isHeld ? kDutyWait : Duration{}, aActions);
+  const bool isHeld = m_isPoller && !m_grace.IsLost();
+  Ask(aNow, isHeld ? kPollWait : Duration{}, aActions);
 }
 
 void
 TableFollower::Ask(Instant aNow, Duration aWait, Actions& aActions)
 {
-  m_asking = true;
+  m_isReading = true;
   m_askedAt = aNow;
-  m_resting = false;
+  m_isOnStandby = false;
   if (m_needsTable) {
     // An instance that already serves retries an unresponsive store sooner.
     const bool isProbe = m_hasRead && m_grace.IsLost();
-    aActions.emplace_back(ReadTable{ isProbe ? kStoreSlack : kPageSlack });
+    aActions.emplace_back(
+      ReadTable{ isProbe ? kResponseMargin : kPageTimeout });
     return;
   }
   m_askedAfter = m_table.Position();
   aActions.emplace_back(
-    ReadChanges{ m_askedAfter, aWait, aWait + kStoreSlack });
+    ReadChanges{ m_askedAfter, aWait, aWait + kResponseMargin });
 }
 
 RetryLater
 TableFollower::NextTry(Instant aNow) const
 {
-  if (!m_onDutyByPlace && m_hasRead) {
-    return { kLeastStandby, kMostStandby - kLeastStandby };
+  if (!m_isDesignatedPoller && m_hasRead) {
+    return { kMinStandbyRetry, kMaxStandbyRetry - kMinStandbyRetry };
   }
   const Duration taken = aNow - m_askedAt;
   return { std::max(Duration{}, m_retry - taken), {} };
@@ -55,12 +56,12 @@
 void
 TableFollower::AskAPeer(Duration aWithin, Actions& aActions)
 {
-  m_askingPeer = true;
-  aActions.emplace_back(AskPeer{ AskedOfPeers(), aWithin });
+  m_isAskingPeer = true;
+  aActions.emplace_back(AskPeer{ PositionForPeers(), aWithin });
 }
 
 StorePosition
-TableFollower::AskedOfPeers() const
+TableFollower::PositionForPeers() const
 {
   return m_needsTable ? StorePosition{ m_generation, 0 } : m_table.Position();
 }
@@ -83,60 +84,60 @@
 TableFollower::FollowGeneration(Instant aNow, Actions& aActions)
 {
   if (m_grace.IsLost()) {
-    if (!m_askingPeer) {
-      AskAPeer(kAskWithin, aActions); // The next read is already scheduled.
+    if (!m_isAskingPeer) {
+      AskAPeer(kAskSpread, aActions); // The next read is already scheduled.
     }
     return;
   }
   // A read that is under way was sent to the previous generation and may have
   // been lost with it.
-  if (std::exchange(m_asking, false)) {
-    aActions.emplace_back(DropRead{});
+  if (std::exchange(m_isReading, false)) {
+    aActions.emplace_back(CancelRead{});
   }
-  if (m_onDuty) {
+  if (m_isPoller) {
     Ask(aNow, aActions);
     return;
   }
-  m_resting = false;
+  m_isOnStandby = false;
   m_behindSince = aNow;
-  aActions.emplace_back(RetryLater{ kAskPatience });
-  if (!m_askingPeer) {
-    AskAPeer(kAskWithin, aActions);
+  aActions.emplace_back(RetryLater{ kAskPeerTimeout });
+  if (!m_isAskingPeer) {
+    AskAPeer(kAskSpread, aActions);
   }
 }
 
 void
-TableFollower::GoOn(Instant aNow, Actions& aActions)
+TableFollower::ScheduleNextRead(Instant aNow, Actions& aActions)
 {
-  if (m_onDuty || m_needsTable) {
+  if (m_isPoller || m_needsTable) {
     Ask(aNow, aActions);
     return;
   }
-  m_resting = true;
-  aActions.emplace_back(RetryLater{ kLongestRest });
+  m_isOnStandby = true;
+  aActions.emplace_back(RetryLater{ kStandbyTimeout });
 }
 
 void
-TableFollower::AskAnew(Instant aNow, Actions& aActions)
+TableFollower::ReissueRead(Instant aNow, Actions& aActions)
 {
   m_behindSince.reset();
-  aActions.emplace_back(DropRead{});
+  aActions.emplace_back(CancelRead{});
   // A change is known to exist, so a store that serves this instance answers at
   // once. A store that does not serve it is detected two seconds sooner than by
   // a read that the store may hold open.
   Ask(aNow, Duration{}, aActions);
-  if (!m_askingPeer) {
-    AskAPeer(kAskWithin, aActions);
+  if (!m_isAskingPeer) {
+    AskAPeer(kAskSpread, aActions);
   }
 }
 
 void
 TableFollower::AskForTable(Instant aNow, Actions& aActions)
 {
-  if (m_askingPeer) {
+  if (m_isAskingPeer) {
     return;
   }
-  if (!m_asking) {
+  if (!m_isReading) {
     // Reading the whole table from the store takes time, and the more instances
     // do so, the longer it takes. A peer answers sooner.
     AskAPeer({}, aActions);
@@ -149,15 +150,15 @@
   // which may be rejecting this instance alone.
   if (!m_behindSince) {
     m_behindSince = aNow;
-  } else if (aNow - *m_behindSince >= kBehindPatience) {
-    AskAPeer(kAskWithin, aActions);
+  } else if (aNow - *m_behindSince >= kBehindTimeout) {
+    AskAPeer(kAskSpread, aActions);
   }
 }
 
 void
 TableFollower::NoteAnswer(Instant aNow, Actions& aActions)
 {
-  m_asking = false;
+  m_isReading = false;
   m_behindSince.reset();
   m_retry = kFirstRetry;
   if (m_grace.NoteAnswer(aNow)) {
@@ -175,18 +176,18 @@
   const bool isCopy = m_hasRead && aPosition.m_generation > before.m_generation;
   m_hasRead = true;
   m_needsTable = false;
-  m_toldOld = false;
+  m_reportedOldAnswer = false;
   ApplyRows rows{ m_table.Replace(aRows, aPosition), m_grace.Until(aNow) };
   if (isCopy) {
-    rows.m_copyAfter = before;
+    rows.m_positionBeforeCopy = before;
   }
   aActions.emplace_back(std::move(rows));
 }
 
 void
-TableFollower::Refuse(StorePosition aPosition, Actions& aActions)
+TableFollower::RejectAnswer(StorePosition aPosition, Actions& aActions)
 {
-  if (!std::exchange(m_toldOld, true)) {
+  if (!std::exchange(m_reportedOldAnswer, true)) {
     aActions.emplace_back(AnswerIsOld{ aPosition });
   }
 }
@@ -205,15 +206,15 @@
 }
 
 void
-TableFollower::On(const FollowBegan&, Instant, Actions& aActions)
+TableFollower::On(const FollowStarted&, Instant, Actions& aActions)
 {
-  aActions.emplace_back(RetryLater{ kStartPatience });
+  aActions.emplace_back(RetryLater{ kStartTimeout });
 }
 
 void
 TableFollower::On(const PeersListed& aEvent, Instant aNow, Actions& aActions)
 {
-  if (!m_needsTable || m_asking || m_askingPeer) {
+  if (!m_needsTable || m_isReading || m_isAskingPeer) {
     return;
   }
   if (aEvent.m_any) {
@@ -230,11 +231,11 @@
   RaiseGeneration(slice.m_position.m_generation, aNow);
   const bool isNewer = slice.m_position > m_table.Position() &&
                        slice.m_position.m_generation >= m_generation;
-  if (!m_askingPeer || !isNewer || (m_needsTable && !slice.m_whole)) {
+  if (!m_isAskingPeer || !isNewer || (m_needsTable && !slice.m_whole)) {
     On(PeerFailed{}, aNow, aActions);
     return;
   }
-  m_askingPeer = false;
+  m_isAskingPeer = false;
   m_behindSince.reset();
   if (slice.m_whole) {
     TakeTable(slice.m_rows, slice.m_position, aNow, aActions);
@@ -242,21 +243,22 @@
     TakeChanges(slice.m_rows, slice.m_position, aNow, aActions);
   }
   // While the reads of this instance fail, the next one is already scheduled.
-  if (!m_asking && !m_grace.IsLost()) {
-    GoOn(aNow, aActions);
+  if (!m_isReading && !m_grace.IsLost()) {
+    ScheduleNextRead(aNow, aActions);
   }
 }
 
 void
 TableFollower::On(const PeerFailed&, Instant, Actions& aActions)
 {
-  if (!std::exchange(m_askingPeer, false) || m_asking || m_grace.IsLost()) {
+  if (!std::exchange(m_isAskingPeer, false) || m_isReading ||
+      m_grace.IsLost()) {
     return;
   }
   if (!m_needsTable || m_hasRead) {
     if (m_behindSince) {
       // Peers are asked again and again until `kAskPeerTimeout` is over.
-      AskAPeer(kAskWithin, aActions);
+      AskAPeer(kAskSpread, aActions);
     }
   } else if (++m_startTries < kStartTries) {
     AskAPeer({}, aActions);
@@ -273,12 +275,12 @@
   if (isOld) {
     // The answer is older than what was already reported. Ask again a little
     // later.
-    Refuse(aEvent.m_position, aActions);
+    RejectAnswer(aEvent.m_position, aActions);
     aActions.emplace_back(RetryLater{ kFirstRetry });
     return;
   }
   TakeTable(aEvent.m_rows, aEvent.m_position, aNow, aActions);
-  GoOn(aNow, aActions);
+  ScheduleNextRead(aNow, aActions);
 }
 
 void
@@ -288,7 +290,7 @@
   const StorePosition told = aEvent.m_position;
   RaiseGeneration(told.m_generation, aNow);
   if (told.m_generation < m_generation) {
-    Refuse(told, aActions);
+    RejectAnswer(told, aActions);
     aActions.emplace_back(RetryLater{ kFirstRetry });
     return;
   }
@@ -301,19 +303,19 @@
     if (!isOld) {
       TakeChanges({}, told, aNow, aActions);
     }
-    GoOn(aNow, aActions);
+    ScheduleNextRead(aNow, aActions);
     return;
   }
   TakeChanges(aEvent.m_rows, told, aNow, aActions);
-  if (m_onDuty) {
+  if (m_isPoller) {
     aActions.emplace_back(RetryLater{ kSettle });
   } else {
-    GoOn(aNow, aActions);
+    ScheduleNextRead(aNow, aActions);
   }
 }
 
 void
-TableFollower::On(const HistoryGone& aEvent, Instant aNow, Actions& aActions)
+TableFollower::On(const HistoryLost& aEvent, Instant aNow, Actions& aActions)
 {
   NoteAnswer(aNow, aActions);
   RaiseGeneration(aEvent.m_generation, aNow);
@@ -333,7 +335,7 @@
 void
 TableFollower::On(const ReadFailed& aEvent, Instant aNow, Actions& aActions)
 {
-  m_asking = false;
+  m_isReading = false;
   if (!m_grace.IsLost()) {
     m_lostAt = aNow;
     aActions.emplace_back(StoreLost{ aEvent.m_cause });
@@ -348,12 +350,12 @@
 {
   // A timer that was set for standby may still fire after standby has ended for
   // another reason.
-  if (m_asking) {
+  if (m_isReading) {
     return;
   }
-  const bool mayWait = !m_hasRead && !m_onDuty && !m_grace.IsLost();
-  if (mayWait && !std::exchange(m_hasWaited, true)) {
-    aActions.emplace_back(RetryLater{ kStartPatience });
+  const bool mayWait = !m_hasRead && !m_isPoller && !m_grace.IsLost();
+  if (mayWait && !std::exchange(m_startTimedOut, true)) {
+    aActions.emplace_back(RetryLater{ kStartTimeout });
     return;
   }
   Ask(aNow, aActions);
@@ -375,37 +377,37 @@
     AskForTable(aNow, aActions);
     return;
   }
-  if (std::exchange(m_resting, false)) {
+  if (std::exchange(m_isOnStandby, false)) {
     m_behindSince = aNow;
-    aActions.emplace_back(RetryLater{ kAskPatience });
-    AskAPeer(kAskWithin, aActions);
+    aActions.emplace_back(RetryLater{ kAskPeerTimeout });
+    AskAPeer(kAskSpread, aActions);
     return;
   }
   if (m_grace.IsLost()) {
     // That peer is served by the store, or was before this instance's outage.
     // It can pass on a change that the store may withhold from this instance
     // for long, whichever read is sent.
-    if (!m_askingPeer) {
-      AskAPeer(kAskWithin, aActions);
+    if (!m_isAskingPeer) {
+      AskAPeer(kAskSpread, aActions);
     }
     return;
   }
-  if (!m_asking) {
+  if (!m_isReading) {
     return;
   }
   // A read is sent again only once for each version. If the store does not
   // return the change then, it will not do so later, but a peer may.
-  if (told <= m_askedAnewFor) {
-    if (!m_askingPeer) {
-      AskAPeer(kAskWithin, aActions);
+  if (told <= m_reissuedFor) {
+    if (!m_isAskingPeer) {
+      AskAPeer(kAskSpread, aActions);
     }
     return;
   }
   if (!m_behindSince) {
     m_behindSince = aNow;
-  } else if (aNow - *m_behindSince >= kBehindPatience) {
-    m_askedAnewFor = told;
-    AskAnew(aNow, aActions);
+  } else if (aNow - *m_behindSince >= kBehindTimeout) {
+    m_reissuedFor = told;
+    ReissueRead(aNow, aActions);
   }
 }
 
@@ -424,11 +426,11 @@
 }
 
 void
-TableFollower::On(const DutyChanged& aEvent, Instant aNow, Actions& aActions)
+TableFollower::On(const PollingChanged& aEvent, Instant aNow, Actions& aActions)
 {
-  m_onDuty = aEvent.m_onDuty;
-  m_onDutyByPlace = aEvent.m_byPlace;
-  if (m_onDuty && m_resting) {
+  m_isPoller = aEvent.m_isPoller;
+  m_isDesignatedPoller = aEvent.m_isDesignated;
+  if (m_isPoller && m_isOnStandby) {
     Ask(aNow, aActions);
   }
 }
--- a/packages/relay/tests/LapseGraceTest.cpp
+++ b/packages/relay/tests/ExpiryGraceTest.cpp
@@ -10,7 +10,7 @@
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
-#include <ridgeferry/relay/LapseGrace.h>
+#include <ridgeferry/relay/ExpiryGrace.h>
 
 namespace ridgeferry::relay {
 namespace {
@@ -22,7 +22,7 @@
  * The store drops a row that was not renewed for this time. The row is back
  * within two seconds of the store's return.
  */
-constexpr int kLapseMs = 3600;
+constexpr int kExpiryMs = 3600;
 constexpr int kBackMs = 2000;
 /** Removals are final again this long after the store's return. */
 constexpr int kBindsMs = 3000;
@@ -34,7 +34,7 @@
 
 /** `aWhat` is the condition, for the failure report. */
 void
-Must(bool aHolds, const std::string& aWhat)
+Require(bool aHolds, const std::string& aWhat)
 {
   if (!aHolds) {
     RC_FAIL(aWhat);
@@ -57,7 +57,7 @@
   return *rc::gen::inRange(0, 3) == 0 ? Span{} : Span{ from, from + length };
 }
 
-struct Word
+struct Message
 {
   int m_hall = 0;
   bool m_lost = false;
@@ -99,15 +99,16 @@
   bool HasLeft(int aAt) const { return m_leavesAt && aAt >= *m_leavesAt; }
   bool IsThere(int aAt) const
   {
-    return !HasLeft(aAt) && !HasLapsed(m_outage, aAt) && !HasLapsed(m_cut, aAt);
+    return !HasLeft(aAt) && !HasExpired(m_outage, aAt) &&
+           !HasExpired(m_cut, aAt);
   }
 
 private:
-  bool HasLapsed(const Span& aUnrenewed, int aAt) const
+  bool HasExpired(const Span& aUnrenewed, int aAt) const
   {
-    const Span lapsed{ aUnrenewed.m_from + kLapseMs,
+    const Span lapsed{ aUnrenewed.m_from + kExpiryMs,
                        aUnrenewed.m_to + m_backAfter };
-    return aUnrenewed.m_to - aUnrenewed.m_from >= kLapseMs && lapsed.Has(aAt);
+    return aUnrenewed.m_to - aUnrenewed.m_from >= kExpiryMs && lapsed.Has(aAt);
   }
 
   Span m_outage;
@@ -120,12 +121,12 @@
 {
 public:
   /**
-   * `aTurnedAway`: when the store rejects this instance alone. `aCut`: when the
+   * `aRejected`: when the store rejects this instance alone. `aCut`: when the
    * instance's whole data centre is cut off, also from the other instances.
    * `aRowsHall`: data centre of the upstream that is followed.
    */
-  Follower(Span aTurnedAway, Span aCut, Span aFrozen, int aRowsHall = kNoHall)
-    : m_turnedAway(aTurnedAway)
+  Follower(Span aRejected, Span aCut, Span aFrozen, int aRowsHall = kNoHall)
+    : m_rejected(aRejected)
     , m_cut(aCut)
     , m_frozen(aFrozen)
     , m_rowsHall(aRowsHall)
@@ -144,20 +145,20 @@
     const auto overlaps = [&](const Span& aSpan) {
       return aSpan.m_from < aWhen.m_to && aWhen.m_from < aSpan.m_to;
     };
-    return overlaps(m_cut) || overlaps(m_turnedAway);
+    return overlaps(m_cut) || overlaps(m_rejected);
   }
-  bool WasTurnedAwayIn(Span aWhen) const
+  bool WasRejectedIn(Span aWhen) const
   {
-    return m_turnedAway.m_from < aWhen.m_to && aWhen.m_from < m_turnedAway.m_to;
+    return m_rejected.m_from < aWhen.m_to && aWhen.m_from < m_rejected.m_to;
   }
-  void Deliver(const Word& aWord) { m_inbox.push_back(aWord); }
+  void Deliver(const Message& aMessage) { m_inbox.push_back(aMessage); }
 
   void Step(const StoreRow& aStore, int aAt)
   {
     for (; !m_inbox.empty(); m_inbox.pop_front()) {
       Take(m_inbox.front(), aAt);
     }
-    if (IsCut(aAt) || m_turnedAway.Has(aAt) || !aStore.Answers(aAt)) {
+    if (IsCut(aAt) || m_rejected.Has(aAt) || !aStore.Answers(aAt)) {
       m_grace.NoteFailure(At(aAt));
       return;
     }
@@ -171,7 +172,7 @@
                    : std::optional(Bounded(m_grace.Until(At(aAt)), aAt));
   }
 
-  Word Say(int aHall, int aAt) const
+  Message Report(int aHall, int aAt) const
   {
     return { aHall,
              m_grace.IsLost(),
@@ -179,7 +180,7 @@
              m_grace.ReadsFor(At(aAt)) };
   }
 
-  bool GivesWork(int aAt) const { return !m_gone || At(aAt) < *m_gone; }
+  bool SendsCalls(int aAt) const { return !m_gone || At(aAt) < *m_gone; }
   bool HasReadRemoval() const { return m_gone.has_value(); }
   /**
    * Returns whether nothing keeps the instance from the store, now or shortly
@@ -187,7 +188,7 @@
    */
   bool IsCalm(int aAt) const
   {
-    return IsOver(m_turnedAway, aAt) && IsOver(m_frozen, aAt);
+    return IsOver(m_rejected, aAt) && IsOver(m_frozen, aAt);
   }
 
 private:
@@ -201,47 +202,47 @@
   {
     const bool isFresh = aAt - m_hallHeardAt <= kHeardMs;
     const auto since = isFresh ? m_hallReadsSince : std::nullopt;
-    return LapseGrace::Bounded(aUntil, since, At(aAt)).value_or(At(aAt));
+    return ExpiryGrace::Bounded(aUntil, since, At(aAt)).value_or(At(aAt));
   }
 
-  void TakeOfRowsHall(const Word& aWord, int aAt)
+  void TakeOfRowsHall(const Message& aMessage, int aAt)
   {
     m_hallHeardAt = aAt;
     m_hallReadsSince.reset();
-    if (aWord.m_readsFor) {
-      m_hallReadsSince = At(aAt) - *aWord.m_readsFor;
+    if (aMessage.m_readsFor) {
+      m_hallReadsSince = At(aAt) - *aMessage.m_readsFor;
     }
     if (m_gone) {
       m_gone = Bounded(m_gone, aAt);
     }
   }
 
-  void Take(const Word& aWord, int aAt)
+  void Take(const Message& aMessage, int aAt)
   {
-    if (!aWord.m_lost) {
+    if (!aMessage.m_lost) {
       m_heardAt = aAt;
     }
-    if (aWord.m_hall == m_rowsHall) {
-      TakeOfRowsHall(aWord, aAt);
+    if (aMessage.m_hall == m_rowsHall) {
+      TakeOfRowsHall(aMessage, aAt);
     }
     const bool hears = m_heardAt && aAt - *m_heardAt <= kHeardMs;
-    if (aWord.m_lost && !hears) {
+    if (aMessage.m_lost && !hears) {
       m_grace.NotePeerLost(At(aAt));
     }
-    if (!aWord.m_steady) {
+    if (!aMessage.m_steady) {
       return;
     }
     m_grace.NotePeerSteady(At(aAt));
   }
 
-  Span m_turnedAway;
+  Span m_rejected;
   Span m_cut;
   Span m_frozen;
   int m_rowsHall;
-  LapseGrace m_grace;
+  ExpiryGrace m_grace;
   int m_hallHeardAt = -kEndMs;
   std::optional<Instant> m_hallReadsSince;
-  std::deque<Word> m_inbox;
+  std::deque<Message> m_inbox;
   bool m_there = true;
   std::optional<Instant> m_gone;
   std::optional<int> m_heardAt;
@@ -267,7 +268,7 @@
         const bool lost = *rc::gen::inRange(0, 5) == 4;
         if (&other != &one && !lost && !one.IsCut(at) && !other.IsCut(at)) {
           const auto hall = static_cast<int>(&one - aAll.data());
-          other.Deliver(one.Say(hall, at));
+          other.Deliver(one.Report(hall, at));
         }
       }
       aCheck(one, at);
@@ -300,23 +301,23 @@
         return aItem.IsCalm(aAt);
       });
     if (store.HasLeft(aAt) && aOne.HasReadRemoval() && calm) {
-      Must(!aOne.GivesWork(aAt),
-           "an upstream that has left gets no calls when all reads work");
+      Require(!aOne.SendsCalls(aAt),
+              "an upstream that has left gets no calls when all reads work");
     }
     // The instance in the upstream's data centre can reach the upstream all the
     // time. The row may be missing while the data centre is cut off, and is
     // read again after that.
     const Span back{ outage.m_to, outage.m_to + kBindsMs };
     const Span joined{ cut.m_to, cut.m_to + kBindsMs };
-    const bool canRead = !aOne.WasCut(back) && !aOne.WasTurnedAwayIn(joined);
+    const bool canRead = !aOne.WasCut(back) && !aOne.WasRejectedIn(joined);
     if (!store.HasLeft(aAt) && &aOne == &all.front() && apart && canRead &&
         !aOne.WasFrozen()) {
-      Must(aOne.GivesWork(aAt), "a sound upstream is used");
+      Require(aOne.SendsCalls(aAt), "a sound upstream is used");
     }
   });
 }
 
-TEST(LapseGraceWorldTest, GraceOnlyWhereRowsMayHaveLapsed)
+TEST(ExpiryGraceWorldTest, GracePeriodOnlyWhereRowsMayHaveExpired)
 {
   EXPECT_TRUE(rc::check("grace", PlayGraces));
 }
@@ -324,7 +325,7 @@
 class GraceSeedTest : public ::testing::TestWithParam<KeptSeed>
 {};
 
-TEST_P(GraceSeedTest, GraceOnlyWhereRowsMayHaveLapsed)
+TEST_P(GraceSeedTest, GracePeriodOnlyWhereRowsMayHaveExpired)
 {
   EXPECT_TRUE(CheckSeed(GetParam(), PlayGraces));
 }
@@ -340,7 +341,7 @@
 // Guards against a grace period for an instance that only the store rejects,
 // while the store serves all others. What such an instance reads as removed
 // when it is served again has left and must get no more calls.
-TEST(LapseGraceWorldTest, OneThatAloneIsTurnedAwayGrantsNothing)
+TEST(ExpiryGraceWorldTest, InstanceRejectedAloneGetsNoGracePeriod)
 {
   EXPECT_TRUE(rc::check("rejected by the store", [] {
     constexpr int kSettledMs = 5000;
@@ -355,7 +356,8 @@
     }
     Play(all, store, [&](const Follower& aOne, int aAt) {
       if (aOne.HasReadRemoval()) {
-        Must(!aOne.GivesWork(aAt), "an upstream that has left gets no calls");
+        Require(!aOne.SendsCalls(aAt),
+                "an upstream that has left gets no calls");
       }
     });
   }));
@@ -367,7 +369,7 @@
 // lacked the row, and every missing row counted as expired for 2.3 s, a guess
 // by time alone. But instances in the upstream's own data centre had read the
 // store throughout, so its upstreams could renew their rows.
-TEST(LapseGraceWorldTest, ACutElsewhereMakesNoRowLapse)
+TEST(ExpiryGraceWorldTest, CutOfAnotherDataCentreExpiresNoRow)
 {
   EXPECT_TRUE(rc::check("cut of another data centre", [] {
     constexpr int kSettledMs = 5000;
@@ -385,7 +387,8 @@
       // The probability that all messages of a second are lost is 1 in 10^7.
       const bool hasHeard = aAt >= cut.m_to + 1000;
       if (aOne.HasReadRemoval() && hasHeard) {
-        Must(!aOne.GivesWork(aAt), "an upstream that has left gets no calls");
+        Require(!aOne.SendsCalls(aAt),
+                "an upstream that has left gets no calls");
       }
     });
   }));
--- a/packages/relay/tests/FollowerState.h
+++ b/packages/relay/tests/FollowerState.h
@@ -30,12 +30,12 @@
     const auto flag = [&](bool aFlag) { aNumbers.push_back(aFlag ? 1 : 0); };
     flag(aFollower.m_hasRead);
     flag(aFollower.m_needsTable);
-    flag(aFollower.m_onDuty);
-    flag(aFollower.m_onDutyByPlace);
-    flag(aFollower.m_asking);
-    flag(aFollower.m_askingPeer);
-    flag(aFollower.m_hasWaited);
-    flag(aFollower.m_resting);
+    flag(aFollower.m_isPoller);
+    flag(aFollower.m_isDesignatedPoller);
+    flag(aFollower.m_isReading);
+    flag(aFollower.m_isAskingPeer);
+    flag(aFollower.m_startTimedOut);
+    flag(aFollower.m_isOnStandby);
     flag(aFollower.m_grace.m_lost);
     aNumbers.push_back(
       std::min(aFollower.m_startTries, TableFollower::kStartTries));
@@ -46,11 +46,11 @@
         .count());
     const bool isBehind = aFollower.m_behindSince.has_value();
     aNumbers.push_back(isBehind ? std::min(aNow - *aFollower.m_behindSince,
-                                           TableFollower::kBehindPatience)
+                                           TableFollower::kBehindTimeout)
                                     .count()
                                 : -1);
     WritePosition(aFollower.m_askedAfter, aNumbers);
-    WritePosition(aFollower.m_askedAnewFor, aNumbers);
+    WritePosition(aFollower.m_reissuedFor, aNumbers);
     WritePosition(aFollower.m_table.Position(), aNumbers);
     WritePosition(aFollower.m_table.ChangedPosition(), aNumbers);
     aNumbers.push_back(static_cast<std::int64_t>(aFollower.m_generation));
--- a/packages/relay/tests/FreshnessModel.cpp
+++ b/packages/relay/tests/FreshnessModel.cpp
@@ -12,13 +12,13 @@
 constexpr int kStepMs = 100;
 constexpr int kAnswerMs = 100;
 /**
- * Time between two messages of an instance to all others. `kWordsLostMs` is the
- * time for which messages are lost after `Happens::WordsLost`.
+ * Time between two messages of an instance to all others. `kMessagesLostMs` is
+ * the time for which messages are lost after `EventKind::MessagesLost`.
  */
-constexpr int kWordMs = 200;
+constexpr int kMessageIntervalMs = 200;
 /** Time between two checks of which instances poll. */
-constexpr int kLookMs = 200;
-constexpr int kWordsLostMs = 1000;
+constexpr int kPollerCheckMs = 200;
+constexpr int kMessagesLostMs = 1000;
 
 int
 Ms(Duration aDuration)
@@ -28,15 +28,16 @@
 
 /** Time after which a held read without an answer counts as failed. */
 const int kHeldReadMs =
-  Ms(TableFollower::kDutyWait + TableFollower::kStoreSlack);
+  Ms(TableFollower::kPollWait + TableFollower::kResponseMargin);
 /**
  * A poller that has received no answer for this time must report that it has
  * lost the store. This covers a held read and the read that was sent in its
  * place.
  */
-const int kSaysWithinMs = Ms(TableFollower::kSettle + TableFollower::kDutyWait +
-                             2 * TableFollower::kStoreSlack) +
-                          kAnswerMs + kStepMs;
+const int kReportsLossWithinMs =
+  Ms(TableFollower::kSettle + TableFollower::kPollWait +
+     2 * TableFollower::kResponseMargin) +
+  kAnswerMs + kStepMs;
 
 } // namespace
 
@@ -81,122 +82,123 @@
   : m_budget(aBudget)
 {
   for (std::size_t i = 0; i < kInstances; ++i) {
-    const bool byPlace = i < kOnDuty;
-    m_instances[i].m_onDuty = byPlace;
-    m_instances[i].m_onDutyByPlace = byPlace;
-    Take(i, DutyChanged{ byPlace, byPlace });
+    const bool byPlace = i < kPollers;
+    m_instances[i].m_isPoller = byPlace;
+    m_instances[i].m_isDesignatedPoller = byPlace;
+    Take(i, PollingChanged{ byPlace, byPlace });
     Take(i, TableRead{ m_store.m_rows, m_store.m_position });
   }
 }
 
-std::vector<Happening>
+std::vector<ModelEvent>
 FreshnessModel::Choices() const
 {
-  std::vector<Happening> out{ {} };
+  std::vector<ModelEvent> out{ {} };
   const bool there = IsStoreThere();
   if (there && m_budget.m_changes > 0) {
-    out.push_back({ Happens::Change });
+    out.push_back({ EventKind::Change });
   }
   if (!there) {
-    out.push_back({ Happens::StoreBack });
+    out.push_back({ EventKind::StoreBack });
   }
   for (std::size_t i = 0; i < kInstances; ++i) {
     if (m_instances[i].m_ignored) {
-      out.push_back({ Happens::Heeded, i });
+      out.push_back({ EventKind::NoLongerIgnored, i });
     }
   }
   if (m_budget.m_faults == 0) {
     return out;
   }
-  out.push_back({ Happens::StoreBackOlder });
+  out.push_back({ EventKind::StoreBackOlder });
   if (there) {
-    out.push_back({ Happens::StoreSilent });
-    out.push_back({ Happens::StoreRefuses });
+    out.push_back({ EventKind::StoreUnresponsive });
+    out.push_back({ EventKind::StoreRefuses });
   }
-  if (m_now >= m_wordsLostUntil) {
-    out.push_back({ Happens::WordsLost });
+  if (m_now >= m_messagesLostUntil) {
+    out.push_back({ EventKind::MessagesLost });
   }
   for (std::size_t i = 0; i < kInstances; ++i) {
-    if (i == 1 && m_alike) {
+    if (i == 1 && m_pollersAreAlike) {
       continue;
     }
-    for (const Happening& fault : FaultsOf(i)) {
+    for (const ModelEvent& fault : FaultsOf(i)) {
       out.push_back(fault);
     }
   }
   return out;
 }
 
-std::vector<Happening>
+std::vector<ModelEvent>
 FreshnessModel::FaultsOf(std::size_t aWho) const
 {
   const Instance& instance = m_instances[aWho];
-  std::vector<Happening> out{ { Happens::Restarts, aWho } };
+  std::vector<ModelEvent> out{ { EventKind::Restarts, aWho } };
   if (instance.m_read && !instance.m_read->m_lost) {
-    out.push_back({ Happens::ReadLost, aWho });
+    out.push_back({ EventKind::ReadLost, aWho });
   }
   if (!instance.m_ignored) {
-    out.push_back({ Happens::Ignored, aWho });
+    out.push_back({ EventKind::Ignored, aWho });
   }
   if (instance.m_askAt != kNever) {
-    out.push_back({ Happens::AskFails, aWho });
+    out.push_back({ EventKind::AskFails, aWho });
   }
   return out;
 }
 
 void
-FreshnessModel::Apply(const Happening& aHappening)
+FreshnessModel::Apply(const ModelEvent& aModelEvent)
 {
-  Instance& instance = m_instances[aHappening.m_who];
+  Instance& instance = m_instances[aModelEvent.m_who];
   bool isFault = true;
-  switch (aHappening.m_what) {
-    case Happens::Nothing:
+  switch (aModelEvent.m_what) {
+    case EventKind::Nothing:
       isFault = false;
       break;
-    case Happens::Change:
+    case EventKind::Change:
       isFault = false;
       --m_budget.m_changes;
       m_store.Change();
       break;
-    case Happens::StoreSilent:
-      m_store.m_state = Store::Silent;
+    case EventKind::StoreUnresponsive:
+      m_store.m_state = Store::Unresponsive;
       LoseReads();
       break;
-    case Happens::StoreRefuses:
+    case EventKind::StoreRefuses:
       m_store.m_state = Store::Refuses;
       break;
-    case Happens::StoreBack:
+    case EventKind::StoreBack:
       isFault = false;
       m_store.m_state = Store::There;
       break;
-    case Happens::StoreBackOlder:
+    case EventKind::StoreBackOlder:
       LoseReads();
       m_store.ComeBackOlder();
       break;
-    case Happens::WordsLost:
-      m_wordsLostUntil = m_now + kWordsLostMs;
+    case EventKind::MessagesLost:
+      m_messagesLostUntil = m_now + kMessagesLostMs;
       break;
-    case Happens::ReadLost:
+    case EventKind::ReadLost:
       instance.m_read->m_lost = true;
       break;
-    case Happens::Ignored:
+    case EventKind::Ignored:
       instance.m_ignored = true;
       break;
-    case Happens::Heeded:
+    case EventKind::NoLongerIgnored:
       isFault = false;
       instance.m_ignored = false;
       break;
-    case Happens::AskFails:
+    case EventKind::AskFails:
       instance.m_askAt = kNever;
-      Take(aHappening.m_who, PeerFailed{});
+      Take(aModelEvent.m_who, PeerFailed{});
       break;
-    case Happens::Restarts:
-      Restart(aHappening.m_who);
+    case EventKind::Restarts:
+      Restart(aModelEvent.m_who);
       break;
   }
   m_budget.m_faults -= isFault ? 1 : 0;
-  const bool isOfOne = aHappening.m_what >= Happens::ReadLost;
-  m_alike = m_alike && !(isOfOne && aHappening.m_who < kOnDuty);
+  const bool isOfOne = aModelEvent.m_what >= EventKind::ReadLost;
+  m_pollersAreAlike =
+    m_pollersAreAlike && !(isOfOne && aModelEvent.m_who < kPollers);
 }
 
 void
@@ -216,8 +218,8 @@
   m_instances[aWho] = Instance();
   m_instances[aWho].m_ignored = ignored;
   m_instances[aWho].m_hearsPeers = false;
-  m_instances[aWho].m_provenAt = m_now;
-  Take(aWho, FollowBegan{});
+  m_instances[aWho].m_lastAnswerAt = m_now;
+  Take(aWho, FollowStarted{});
 }
 
 void
@@ -245,8 +247,9 @@
 FreshnessModel::Do(Instance& aInstance, const ReadTable& aRead)
 {
   const int answersAt = m_now + kAnswerMs;
-  aInstance.m_read =
-    Read{ true, false, {}, answersAt, answersAt, m_now + Ms(aRead.m_patience) };
+  aInstance.m_read = Read{
+    true, false, {}, answersAt, answersAt, m_now + Ms(aRead.m_readTimeout)
+  };
 }
 
 void
@@ -258,7 +261,7 @@
                            aRead.m_after,
                            answersAt,
                            std::max(answersAt, m_now + Ms(aRead.m_wait)),
-                           m_now + Ms(aRead.m_patience) };
+                           m_now + Ms(aRead.m_readTimeout) };
 }
 
 void
@@ -266,20 +269,20 @@
 {
   // Standby ends when a peer reports a change. The time limit of standby is too
   // long to matter here.
-  const bool isRest = aLater.m_delay >= TableFollower::kLongestRest;
-  aInstance.m_rests = isRest;
+  const bool isRest = aLater.m_delay >= TableFollower::kStandbyTimeout;
+  aInstance.m_isOnStandby = isRest;
   aInstance.m_dueAt =
-    isRest ? kNever : m_now + Ms(aLater.m_delay + aLater.m_within);
+    isRest ? kNever : m_now + Ms(aLater.m_delay + aLater.m_jitter);
 }
 
 void
 FreshnessModel::Do(Instance& aInstance, const AskPeer& aAsk)
 {
-  aInstance.m_askAt = m_now + Ms(aAsk.m_within) + kAnswerMs;
+  aInstance.m_askAt = m_now + Ms(aAsk.m_jitter) + kAnswerMs;
 }
 
 void
-FreshnessModel::Do(Instance& aInstance, const DropRead&)
+FreshnessModel::Do(Instance& aInstance, const CancelRead&)
 {
   aInstance.m_read.reset();
 }
@@ -290,8 +293,8 @@
   m_now += kStepMs;
   for (std::size_t i = 0; i < kInstances; ++i) {
     Instance& instance = m_instances[i];
-    if (m_now % kLookMs == 0) {
-      LookAtDuty(i);
+    if (m_now % kPollerCheckMs == 0) {
+      UpdatePolling(i);
     }
     if (instance.m_dueAt != kNever && m_now >= instance.m_dueAt) {
       instance.m_dueAt = kNever;
@@ -302,28 +305,29 @@
       AnswerAsPeer(i);
     }
     StepRead(i);
-    if (m_now % kWordMs == 0 && m_now >= m_wordsLostUntil) {
-      TellOthers(i);
+    if (m_now % kMessageIntervalMs == 0 && m_now >= m_messagesLostUntil) {
+      NotifyPeers(i);
     }
     if (!HasNext(instance)) {
       m_fault = "instance " + std::to_string(i) + " waits for no event";
     }
-    CheckSaysWhenLost(i);
+    CheckReportsLoss(i);
   }
 }
 
 bool
 FreshnessModel::HasNext(const Instance& aInstance) const
 {
-  return aInstance.m_read || aInstance.m_dueAt != kNever || aInstance.m_rests;
+  return aInstance.m_read || aInstance.m_dueAt != kNever ||
+         aInstance.m_isOnStandby;
 }
 
 void
-FreshnessModel::CheckSaysWhenLost(std::size_t aWho)
+FreshnessModel::CheckReportsLoss(std::size_t aWho)
 {
   const Instance& instance = m_instances[aWho];
-  const bool isLong = m_now - instance.m_provenAt > kSaysWithinMs;
-  const bool isOnDuty = aWho < kOnDuty && instance.m_follower.HasRead();
+  const bool isLong = m_now - instance.m_lastAnswerAt > kReportsLossWithinMs;
+  const bool isOnDuty = aWho < kPollers && instance.m_follower.HasRead();
   if (isOnDuty && isLong && !instance.m_follower.IsLost()) {
     m_fault = "instance " + std::to_string(aWho) +
               " does not report that it has lost the store";
@@ -341,7 +345,7 @@
   const bool refused =
     m_store.m_state == Store::Refuses && m_now >= read.m_answersAt;
   read.m_lost =
-    read.m_lost || instance.m_ignored || m_store.m_state == Store::Silent;
+    read.m_lost || instance.m_ignored || m_store.m_state == Store::Unresponsive;
   if (m_now >= read.m_failsAt || (refused && !read.m_lost)) {
     instance.m_read.reset();
     Take(aWho, ReadFailed{ "away" });
@@ -356,7 +360,7 @@
   if (isDue && !read.m_lost && IsStoreThere()) {
     const Read answered = read;
     instance.m_read.reset();
-    instance.m_provenAt = m_now;
+    instance.m_lastAnswerAt = m_now;
     Answer(aWho, answered);
   }
 }
@@ -369,7 +373,7 @@
   if (aRead.m_whole) {
     Take(aWho, TableRead{ m_store.m_rows, position });
   } else if (after > position.m_version) {
-    Take(aWho, HistoryGone{ position.m_generation });
+    Take(aWho, HistoryLost{ position.m_generation });
   } else {
     Take(aWho, ChangesRead{ m_store.RowsAfter(after), position });
   }
@@ -379,10 +383,10 @@
 FreshnessModel::AnswerAsPeer(std::size_t aWho)
 {
   const StorePosition held = m_instances[aWho].m_follower.Position();
-  if (m_now >= m_wordsLostUntil) {
+  if (m_now >= m_messagesLostUntil) {
     for (const Instance& other : m_instances) {
       if (other.m_follower.Position() > held) {
-        m_instances[aWho].m_provenAt = m_now;
+        m_instances[aWho].m_lastAnswerAt = m_now;
         Take(aWho, PeerAnswered{ other.m_follower.Since(held) });
         return;
       }
@@ -392,7 +396,7 @@
 }
 
 void
-FreshnessModel::TellOthers(std::size_t aWho)
+FreshnessModel::NotifyPeers(std::size_t aWho)
 {
   const StorePosition told = m_instances[aWho].m_follower.ChangedPosition();
   for (std::size_t i = 0; i < kInstances; ++i) {
@@ -408,18 +412,19 @@
 }
 
 void
-FreshnessModel::LookAtDuty(std::size_t aWho)
+FreshnessModel::UpdatePolling(std::size_t aWho)
 {
   bool hears = false;
-  for (std::size_t i = 0; i < kOnDuty; ++i) {
+  for (std::size_t i = 0; i < kPollers; ++i) {
     const TableFollower& other = m_instances[i].m_follower;
     hears = hears || (i != aWho && other.HasRead() && !other.IsLost());
   }
-  hears = hears && m_now >= m_wordsLostUntil;
+  hears = hears && m_now >= m_messagesLostUntil;
   Instance& instance = m_instances[aWho];
-  instance.m_onDutyByPlace = aWho < kOnDuty;
-  instance.m_onDuty = instance.m_onDutyByPlace || !hears;
-  Take(aWho, DutyChanged{ instance.m_onDuty, instance.m_onDutyByPlace });
+  instance.m_isDesignatedPoller = aWho < kPollers;
+  instance.m_isPoller = instance.m_isDesignatedPoller || !hears;
+  Take(aWho,
+       PollingChanged{ instance.m_isPoller, instance.m_isDesignatedPoller });
 }
 
 bool
@@ -433,7 +438,7 @@
 }
 
 bool
-FreshnessModel::AllAreFresh() const
+FreshnessModel::AllAreUpToDate() const
 {
   return std::all_of(
     m_instances.begin(), m_instances.end(), [&](const Instance& aInstance) {
@@ -452,25 +457,25 @@
   if (aInstance.m_ignored && !aInstance.m_follower.HasRead()) {
     // The instance takes its table from a peer and still has a read of its own
     // to try.
-    return m_now + Ms(2 * TableFollower::kStartPatience) + kHeldReadMs;
+    return m_now + Ms(2 * TableFollower::kStartTimeout) + kHeldReadMs;
   }
   const bool isSettling = !aInstance.m_read && !aInstance.m_follower.IsLost();
-  if (aInstance.m_ignored && isSettling && aInstance.m_onDutyByPlace) {
+  if (aInstance.m_ignored && isSettling && aInstance.m_isDesignatedPoller) {
     return m_now + Ms(TableFollower::kSettle) + kHeldReadMs;
   }
-  if (aInstance.m_onDutyByPlace && aInstance.m_follower.HasRead() &&
+  if (aInstance.m_isDesignatedPoller && aInstance.m_follower.HasRead() &&
       aInstance.m_follower.IsLost()) {
     // The instance must send only short reads while the store is lost, whatever
     // it actually sends.
-    const int latest = m_now + Ms(TableFollower::kStoreSlack);
+    const int latest = m_now + Ms(TableFollower::kResponseMargin);
     return isLost ? std::min(aInstance.m_read->m_failsAt, latest) : m_now;
   }
-  if (aInstance.m_onDutyByPlace) {
+  if (aInstance.m_isDesignatedPoller) {
     return isLost ? aInstance.m_read->m_failsAt : m_now;
   }
   // Instances that are not designated pollers rarely read the store.
   if (isLost) {
-    return aInstance.m_read->m_failsAt + Ms(TableFollower::kMostStandby);
+    return aInstance.m_read->m_failsAt + Ms(TableFollower::kMaxStandbyRetry);
   }
   return aInstance.m_follower.IsLost() ? std::max(m_now, aInstance.m_dueAt)
                                        : m_now;
@@ -482,7 +487,7 @@
   int firstServed = std::numeric_limits<int>::max();
   int lastOnDuty = m_now;
   for (const Instance& instance : m_instances) {
-    if (!instance.m_onDuty) {
+    if (!instance.m_isPoller) {
       continue;
     }
     const int noticed = NoticesAt(instance);
@@ -492,7 +497,7 @@
     }
   }
   const bool isServed = firstServed != std::numeric_limits<int>::max();
-  const int until = std::max(m_now, m_wordsLostUntil);
+  const int until = std::max(m_now, m_messagesLostUntil);
   return std::max(until, isServed ? firstServed : lastOnDuty) - m_now;
 }
 
@@ -518,10 +523,11 @@
     left(instance.m_dueAt);
     left(instance.m_askAt);
     numbers.push_back(instance.m_ignored ? 1 : 0);
-    numbers.push_back(instance.m_onDuty ? 1 : 0);
-    numbers.push_back(instance.m_rests ? 1 : 0);
+    numbers.push_back(instance.m_isPoller ? 1 : 0);
+    numbers.push_back(instance.m_isOnStandby ? 1 : 0);
     numbers.push_back(instance.m_hearsPeers ? 1 : 0);
-    numbers.push_back(std::min(m_now - instance.m_provenAt, kSaysWithinMs));
+    numbers.push_back(
+      std::min(m_now - instance.m_lastAnswerAt, kReportsLossWithinMs));
   }
   numbers.push_back(m_store.m_state);
   FollowerState::WritePosition(m_store.m_position, numbers);
@@ -533,8 +539,8 @@
   }
   numbers.push_back(m_budget.m_faults);
   numbers.push_back(m_budget.m_changes);
-  left(m_wordsLostUntil);
-  numbers.push_back(m_alike ? 1 : 0);
+  left(m_messagesLostUntil);
+  numbers.push_back(m_pollersAreAlike ? 1 : 0);
   return XXH3_64bits(numbers.data(), numbers.size() * sizeof(numbers[0]));
 }
 
--- a/packages/relay/tests/FreshnessModel.h
+++ b/packages/relay/tests/FreshnessModel.h
@@ -12,26 +12,26 @@
 namespace ridgeferry::relay {
 
 /** Events that may happen between two steps of the model. */
-enum class Happens
+enum class EventKind
 {
   Nothing,
-  Change,       ///< The store accepts a change.
-  StoreSilent,  ///< The store accepts calls and does not respond.
-  StoreRefuses, ///< The store refuses calls.
-  StoreBack,    ///< The store is available again, with its data unchanged.
+  Change,            ///< The store accepts a change.
+  StoreUnresponsive, ///< The store accepts calls and does not respond.
+  StoreRefuses,      ///< The store refuses calls.
+  StoreBack,         ///< The store is available again, with its data unchanged.
   /** The store is restored from an older copy, which lacks its last change. */
   StoreBackOlder,
-  WordsLost, ///< The messages of all instances are lost for a time.
-  ReadLost,  ///< The read that one instance has under way is lost.
-  Ignored,   ///< The store ignores all reads of one instance from now on.
-  Heeded,    ///< The store no longer ignores the instance.
-  AskFails,  ///< One instance's question to a peer fails.
-  Restarts,  ///< One instance restarts without any data.
+  MessagesLost,    ///< The messages of all instances are lost for a time.
+  ReadLost,        ///< The read that one instance has under way is lost.
+  Ignored,         ///< The store ignores all reads of one instance from now on.
+  NoLongerIgnored, ///< The store no longer ignores the instance.
+  AskFails,        ///< One instance's question to a peer fails.
+  Restarts,        ///< One instance restarts without any data.
 };
 
-struct Happening
+struct ModelEvent
 {
-  Happens m_what = Happens::Nothing;
+  EventKind m_what = EventKind::Nothing;
   /** The instance that the event concerns, if it concerns only one. */
   std::size_t m_who = 0;
 };
@@ -54,15 +54,15 @@
 public:
   static constexpr std::size_t kInstances = 3;
   /** Number of designated pollers. They are the first instances. */
-  static constexpr std::size_t kOnDuty = 2;
+  static constexpr std::size_t kPollers = 2;
   /** An event may happen once in this time. */
   static constexpr int kChoiceMs = 200;
 
   explicit FreshnessModel(Budget aBudget);
 
   /** Returns the events that may happen now. */
-  std::vector<Happening> Choices() const;
-  void Apply(const Happening& aHappening);
+  std::vector<ModelEvent> Choices() const;
+  void Apply(const ModelEvent& aModelEvent);
   /** Plays up to the next choice of an event. */
   void PlayOn();
 
@@ -74,7 +74,7 @@
    * Returns whether all instances that have a table hold what the store has
    * accepted.
    */
-  bool AllAreFresh() const;
+  bool AllAreUpToDate() const;
   /**
    * Returns for how long, in milliseconds, past events may still keep the
    * instances from reading: the pollers from noticing that they must read from
@@ -96,7 +96,7 @@
     enum State
     {
       There,
-      Silent,
+      Unresponsive,
       Refuses,
     };
     State m_state = There;
@@ -128,14 +128,14 @@
     int m_dueAt = kNever;
     int m_askAt = kNever;
     bool m_ignored = false;
-    bool m_onDuty = true;
-    bool m_onDutyByPlace = true;
+    bool m_isPoller = true;
+    bool m_isDesignatedPoller = true;
     /** True once the instance has been told that there are peers. */
     bool m_hearsPeers = true;
-    bool m_rests = false;
+    bool m_isOnStandby = false;
     /** Time when the instance last received an answer from the store or a peer.
      */
-    int m_provenAt = 0;
+    int m_lastAnswerAt = 0;
   };
 
   bool IsStoreThere() const { return m_store.m_state == Store::There; }
@@ -145,7 +145,7 @@
   void Do(Instance& aInstance, const ReadChanges& aRead);
   void Do(Instance& aInstance, const RetryLater& aLater);
   void Do(Instance& aInstance, const AskPeer& aAsk);
-  void Do(Instance& aInstance, const DropRead& aDrop);
+  void Do(Instance& aInstance, const CancelRead& aDrop);
   template<typename Other>
   void Do(Instance&, const Other&)
   {
@@ -155,12 +155,12 @@
   void StepRead(std::size_t aWho);
   void Answer(std::size_t aWho, const Read& aRead);
   void AnswerAsPeer(std::size_t aWho);
-  void TellOthers(std::size_t aWho);
-  void LookAtDuty(std::size_t aWho);
-  std::vector<Happening> FaultsOf(std::size_t aWho) const;
+  void NotifyPeers(std::size_t aWho);
+  void UpdatePolling(std::size_t aWho);
+  std::vector<ModelEvent> FaultsOf(std::size_t aWho) const;
   void LoseReads();
   void Restart(std::size_t aWho);
-  void CheckSaysWhenLost(std::size_t aWho);
+  void CheckReportsLoss(std::size_t aWho);
   bool HasNext(const Instance& aInstance) const;
   /**
    * Returns when a polling instance notices that the store does not answer it.
@@ -171,13 +171,13 @@
   Store m_store;
   Budget m_budget;
   int m_now = 0;
-  int m_wordsLostUntil = 0;
+  int m_messagesLostUntil = 0;
   /**
    * True while no event has made a difference between the two pollers. Events
    * that concern the second one then lead to the same states as those that
    * concern the first.
    */
-  bool m_alike = true;
+  bool m_pollersAreAlike = true;
   std::string m_fault;
 };
 
--- a/packages/relay/tests/FreshnessModelTest.cpp
+++ b/packages/relay/tests/FreshnessModelTest.cpp
@@ -22,7 +22,7 @@
 struct Link
 {
   std::size_t m_before = 0;
-  Happening m_happening;
+  ModelEvent m_event;
 };
 
 /** A state, and the path to it for the report of a fault. */
@@ -33,7 +33,7 @@
 };
 
 const char*
-NameOf(Happens aWhat)
+NameOf(EventKind aWhat)
 {
   constexpr std::array kNames = {
     "nothing",
@@ -67,7 +67,7 @@
     while (!m_open.empty() && m_fault.empty()) {
       const Node node = std::move(m_open.back());
       m_open.pop_back();
-      for (const Happening& choice : node.m_model.Choices()) {
+      for (const ModelEvent& choice : node.m_model.Choices()) {
         Visit(node, choice);
       }
     }
@@ -77,7 +77,7 @@
   const std::string& Fault() const { return m_fault; }
 
 private:
-  void Visit(const Node& aFrom, const Happening& aChoice)
+  void Visit(const Node& aFrom, const ModelEvent& aChoice)
   {
     Node next = aFrom;
     next.m_model.Apply(aChoice);
@@ -90,7 +90,7 @@
     Check(next, next.m_model, "without a further change");
     if (next.m_model.IsServingAny()) {
       FreshnessModel changed = next.m_model;
-      changed.Apply({ Happens::Change });
+      changed.Apply({ EventKind::Change });
       Check(next, changed, "after a change");
     }
     m_open.push_back(std::move(next));
@@ -103,7 +103,7 @@
   {
     if (!aModel.Fault().empty()) {
       Note(aNode, aModel, aModel.Fault());
-    } else if (aModel.IsServingAny() && !aModel.AllAreFresh()) {
+    } else if (aModel.IsServingAny() && !aModel.AllAreUpToDate()) {
       PlayUntilFresh(aNode, aModel, aWhat);
     }
   }
@@ -113,13 +113,13 @@
                       const char* aWhat)
   {
     const int until = aModel.DisturbedForMs() + kInForceMs;
-    for (int at = 0; at < until && !aModel.AllAreFresh();
+    for (int at = 0; at < until && !aModel.AllAreUpToDate();
          at += FreshnessModel::kChoiceMs) {
       aModel.PlayOn();
     }
     if (!aModel.Fault().empty()) {
       Note(aNode, aModel, aModel.Fault());
-    } else if (!aModel.AllAreFresh()) {
+    } else if (!aModel.AllAreUpToDate()) {
       Note(aNode,
            aModel,
            std::string("instances not up to date in time ") + aWhat);
@@ -137,15 +137,15 @@
 
   std::string PathTo(std::size_t aLink) const
   {
-    std::vector<Happening> path;
+    std::vector<ModelEvent> path;
     for (; aLink != 0; aLink = m_links[aLink].m_before) {
-      path.push_back(m_links[aLink].m_happening);
+      path.push_back(m_links[aLink].m_event);
     }
     std::string out;
     int at = 0;
     std::reverse(path.begin(), path.end());
-    for (const Happening& one : path) {
-      if (one.m_what != Happens::Nothing) {
+    for (const ModelEvent& one : path) {
+      if (one.m_what != EventKind::Nothing) {
         out += std::to_string(at) + " ms: " + NameOf(one.m_what) + " (" +
                std::to_string(one.m_who) + "), ";
       }
@@ -172,7 +172,7 @@
   return given == nullptr ? kUsual : std::atoi(given);
 }
 
-TEST(FreshnessModelTest, AllAreFreshSoonFromEveryState)
+TEST(FreshnessModelTest, AllAreUpToDateSoonFromEveryState)
 {
   Explorer explorer({ MostFaults(), 1 });
   explorer.Run();
--- /dev/null
+++ b/packages/relay/tests/LeavingUpstreamsTest.cpp
@@ -0,0 +1,100 @@
+#include <gtest/gtest.h>
+#include <ridgeferry/relay/LeavingUpstreams.h>
+#include <vector>
+
+namespace ridgeferry::relay {
+namespace {
+
+enum class Announcement
+{
+  ByList,
+  /** A peer announces an upstream that is listed here. */
+  ByPeer,
+  ByPeerWithoutBirth,
+  ByPeerOfAnotherLife,
+  /** A peer announces an upstream that is not listed here, or no longer. */
+  ByPeerUnlisted,
+  Gone,
+};
+
+const UpstreamLife kListed{ "engine-1", 1000 };
+
+struct NewsCase
+{
+  const char* m_name;
+  std::vector<Announcement> m_announcements;
+  bool m_lastIsNew;
+  std::size_t m_announced;
+};
+
+class LeavingUpstreamsTest : public ::testing::TestWithParam<NewsCase>
+{};
+
+bool
+Tell(LeavingUpstreams& aNews, Announcement aAnnouncement)
+{
+  switch (aAnnouncement) {
+    case Announcement::ByList:
+      return aNews.NoteListed(kListed);
+    case Announcement::ByPeer:
+      return aNews.NoteFromPeer(kListed, &kListed);
+    case Announcement::ByPeerWithoutBirth:
+      return aNews.NoteFromPeer({ kListed.m_id }, &kListed);
+    case Announcement::ByPeerOfAnotherLife:
+      return aNews.NoteFromPeer({ kListed.m_id, 5 }, &kListed);
+    case Announcement::ByPeerUnlisted:
+      return aNews.NoteFromPeer(kListed, nullptr);
+    case Announcement::Gone:
+      aNews.NoteGone("engine-1");
+      break;
+  }
+  return false;
+}
+
+TEST_P(LeavingUpstreamsTest, AnnouncedAsLongAsListed)
+{
+  LeavingUpstreams news;
+  bool isNew = false;
+  for (const Announcement said : GetParam().m_announcements) {
+    isNew = Tell(news, said);
+  }
+  EXPECT_EQ(isNew, GetParam().m_lastIsNew);
+  EXPECT_EQ(news.Announced().size(), GetParam().m_announced);
+}
+
+INSTANTIATE_TEST_SUITE_P(
+  Sayings,
+  LeavingUpstreamsTest,
+  ::testing::Values(
+    NewsCase{ "TheListIsTold", { Announcement::ByList }, true, 1 },
+    NewsCase{ "APeerIsBelieved", { Announcement::ByPeer }, true, 1 },
+    NewsCase{ "NothingIsNewTwice",
+              { Announcement::ByList, Announcement::ByPeer },
+              false,
+              1 },
+    NewsCase{ "ItEndsWithTheListing",
+              { Announcement::ByList, Announcement::Gone },
+              false,
+              0 },
+    NewsCase{ "ItIsNotTakenBackFromAPeer",
+              { Announcement::ByList,
+                Announcement::Gone,
+                Announcement::ByPeerUnlisted },
+              false,
+              0 },
+    NewsCase{ "OneThatSaysNoBirthIsBelieved",
+              { Announcement::ByPeerWithoutBirth },
+              true,
+              1 },
+    NewsCase{ "AnotherLifeDoesNotLeave",
+              { Announcement::ByPeerOfAnotherLife },
+              false,
+              0 },
+    NewsCase{ "ALatePeerIsNotBelieved",
+              { Announcement::ByPeerUnlisted },
+              false,
+              0 }),
+  [](const auto& aInfo) { return std::string(aInfo.param.m_name); });
+
+} // namespace
+} // namespace ridgeferry::relay
--- a/packages/relay/tests/GoneUpstreamsTest.cpp
+++ b/packages/relay/tests/RemovedUpstreamsTest.cpp
@@ -1,6 +1,6 @@
 #include <gtest/gtest.h>
 #include <optional>
-#include <ridgeferry/relay/GoneUpstreams.h>
+#include <ridgeferry/relay/RemovedUpstreams.h>
 
 namespace ridgeferry::relay {
 namespace {
@@ -35,9 +35,9 @@
 class CopiedRowTest : public ::testing::TestWithParam<CopyCase>
 {};
 
-TEST_P(CopiedRowTest, BringsNobodyBackWhoHasGone)
+TEST_P(CopiedRowTest, DoesNotBringBackRemovedUpstreams)
 {
-  GoneUpstreams gone;
+  RemovedUpstreams gone;
   gone.NoteGone({ GetParam().m_gone, GetParam().m_goneBorn }, At({}));
   EXPECT_EQ(gone.HoldBack(Listed(GetParam().m_copiedBorn), At(Duration{ 10 })),
             GetParam().m_heldBack);
@@ -64,43 +64,43 @@
     EXPECT_TRUE(m_gone.HoldBack(Listed(kBorn), At({})));
   }
 
-  GoneUpstreams m_gone;
+  RemovedUpstreams m_gone;
 };
 
-TEST_F(HeldBackTest, ARowThatStandsIsRenewedBySomebody)
+TEST_F(HeldBackTest, RowIsReleasedAfterHoldTime)
 {
-  const Duration nearly = GoneUpstreams::kHold - Duration{ 1 };
+  const Duration nearly = RemovedUpstreams::kHold - Duration{ 1 };
   EXPECT_TRUE(m_gone.Tick(At(nearly)).empty());
-  const auto released = m_gone.Tick(At(GoneUpstreams::kHold));
+  const auto released = m_gone.Tick(At(RemovedUpstreams::kHold));
   ASSERT_EQ(released.size(), 1U);
   EXPECT_EQ(released[0].m_id, "up");
   EXPECT_EQ(m_gone.Held(), 0U);
-  EXPECT_FALSE(m_gone.HoldBack(Listed(kBorn), At(GoneUpstreams::kHold)));
+  EXPECT_FALSE(m_gone.HoldBack(Listed(kBorn), At(RemovedUpstreams::kHold)));
 }
 
 // Guards against an upstream that is held back for ever: a second copy must not
 // restart the hold time, so neither must many copies in a row.
-TEST_F(HeldBackTest, AnotherCopyRenewsNothing)
+TEST_F(HeldBackTest, FurtherCopyDoesNotRestartHoldTime)
 {
   EXPECT_TRUE(m_gone.HoldBack(Listed(kBorn), At(Duration{ 4000 })));
-  EXPECT_EQ(m_gone.Tick(At(GoneUpstreams::kHold)).size(), 1U);
+  EXPECT_EQ(m_gone.Tick(At(RemovedUpstreams::kHold)).size(), 1U);
 }
 
-TEST_F(HeldBackTest, AChangeSaysHowItIs)
+TEST_F(HeldBackTest, ChangeEndsHoldTime)
 {
   m_gone.NoteChange("up");
   EXPECT_EQ(m_gone.Held(), 0U);
-  EXPECT_TRUE(m_gone.Tick(At(GoneUpstreams::kHold)).empty());
+  EXPECT_TRUE(m_gone.Tick(At(RemovedUpstreams::kHold)).empty());
   EXPECT_FALSE(m_gone.HoldBack(Listed(kBorn), At(Duration{ 20 })));
 }
 
-TEST_F(HeldBackTest, OneGoneLongAgoIsForgotten)
+TEST_F(HeldBackTest, UpstreamRemovedLongAgoIsForgotten)
 {
   m_gone.NoteGone({ "ago", kBorn }, At({}));
-  m_gone.Tick(At(GoneUpstreams::kRemember));
+  m_gone.Tick(At(RemovedUpstreams::kRemember));
   Member ago = Listed(kBorn);
   ago.m_id = "ago";
-  EXPECT_FALSE(m_gone.HoldBack(ago, At(GoneUpstreams::kRemember)));
+  EXPECT_FALSE(m_gone.HoldBack(ago, At(RemovedUpstreams::kRemember)));
 }
 
 } // namespace
--- a/packages/relay/tests/StoreCopyWorldTest.cpp
+++ b/packages/relay/tests/StoreCopyWorldTest.cpp
@@ -22,7 +22,7 @@
 {
   /** Reads that the store holds and reads that arrive fail at once. */
   Resets,
-  Silent, ///< Reads are never answered.
+  Unresponsive, ///< Reads are never answered.
 };
 
 /**
@@ -51,9 +51,9 @@
 class World
 {
 public:
-  static constexpr std::size_t kOnDuty = 2;
+  static constexpr std::size_t kPollers = 2;
   static constexpr int kStepMs = 5;
-  static constexpr int kWordMs = 70;
+  static constexpr int kMessageIntervalMs = 70;
   static constexpr int kTickMs = 200;
   /** Longest time that a read or an answer takes to arrive, in milliseconds. */
   static constexpr int kMostLateMs = 100;
@@ -70,7 +70,7 @@
       m_nodes.emplace_back();
     }
     for (std::size_t i = 0; i < aCount; ++i) {
-      Take(i, DutyChanged{ i < kOnDuty, i < kOnDuty });
+      Take(i, PollingChanged{ i < kPollers, i < kPollers });
       Take(i, TableRead{ m_store.Since({}).m_rows, m_store.Position() });
     }
     KeepCopy();
@@ -163,7 +163,7 @@
     int m_heldUntil = kNever;
     int m_failsAt = kNever;
     int m_answeredAt = kNever;
-    FollowEvent m_answer = FollowBegan{};
+    FollowEvent m_answer = FollowStarted{};
   };
 
   struct Node
@@ -237,11 +237,11 @@
   }
   void Do(Node& aNode, const ReadTable& aRead)
   {
-    Send(aNode, { true, {} }, aRead.m_patience);
+    Send(aNode, { true, {} }, aRead.m_readTimeout);
   }
   void Do(Node& aNode, const ReadChanges& aRead)
   {
-    Send(aNode, { false, aRead.m_after }, aRead.m_patience);
+    Send(aNode, { false, aRead.m_after }, aRead.m_readTimeout);
     aNode.m_read.m_heldUntil =
       aNode.m_read.m_arrivesAt + static_cast<int>(aRead.m_wait.count());
   }
@@ -251,16 +251,16 @@
     aNode.m_read.m_arrivesAt = m_now + Draw(kMostLateMs);
     aNode.m_read.m_failsAt = m_now + static_cast<int>(aPatience.count());
   }
-  void Do(Node& aNode, const DropRead&) { aNode.m_read = {}; }
+  void Do(Node& aNode, const CancelRead&) { aNode.m_read = {}; }
   void Do(Node& aNode, const RetryLater& aLater)
   {
-    const int within = static_cast<int>(aLater.m_within.count());
+    const int within = static_cast<int>(aLater.m_jitter.count());
     aNode.m_dueAt =
       m_now + static_cast<int>(aLater.m_delay.count()) + Draw(within + 1);
   }
   void Do(Node& aNode, const AskPeer& aAsk)
   {
-    const int within = static_cast<int>(aAsk.m_within.count());
+    const int within = static_cast<int>(aAsk.m_jitter.count());
     aNode.m_peerAt = m_now + Draw(within + 1) + 1;
     aNode.m_askedAfter = aAsk.m_after;
   }
@@ -272,7 +272,7 @@
   {
     Node& node = m_nodes[aWho];
     if (m_now % kTickMs == 0) {
-      LookAtDuty(aWho);
+      UpdatePolling(aWho);
     }
     if (m_now >= node.m_dueAt) {
       node.m_dueAt = kNever;
@@ -283,8 +283,8 @@
       AnswerAsPeer(aWho);
     }
     StepRead(aWho);
-    if (m_now % kWordMs == static_cast<int>(aWho) * kStepMs) {
-      TellOthers(aWho);
+    if (m_now % kMessageIntervalMs == static_cast<int>(aWho) * kStepMs) {
+      NotifyPeers(aWho);
     }
     // Now and then, another call of the instance to the store reveals the
     // generation.
@@ -293,13 +293,13 @@
     }
   }
 
-  void LookAtDuty(std::size_t aWho)
+  void UpdatePolling(std::size_t aWho)
   {
     bool hears = false;
-    for (std::size_t i = 0; i < std::min(kOnDuty, m_nodes.size()); ++i) {
+    for (std::size_t i = 0; i < std::min(kPollers, m_nodes.size()); ++i) {
       hears = hears || (i != aWho && !m_nodes[i].m_lost);
     }
-    Take(aWho, DutyChanged{ aWho < kOnDuty || !hears, aWho < kOnDuty });
+    Take(aWho, PollingChanged{ aWho < kPollers || !hears, aWho < kPollers });
   }
 
   void AnswerAsPeer(std::size_t aWho)
@@ -314,7 +314,7 @@
     Take(aWho, PeerFailed{});
   }
 
-  void TellOthers(std::size_t aWho)
+  void NotifyPeers(std::size_t aWho)
   {
     const StorePosition position = m_nodes[aWho].m_follower.ChangedPosition();
     for (std::size_t i = 0; i < m_nodes.size(); ++i) {
@@ -370,7 +370,7 @@
     if (aRead.m_isWhole) {
       aRead.m_answer = TableRead{ changes.m_rows, now };
     } else if (after > now.m_version || changes.m_whole) {
-      aRead.m_answer = HistoryGone{ now.m_generation };
+      aRead.m_answer = HistoryLost{ now.m_generation };
     } else if (!changes.m_rows.empty() || m_now >= aRead.m_heldUntil) {
       aRead.m_answer = ChangesRead{ changes.m_rows, now };
     } else {
@@ -408,12 +408,12 @@
 constexpr int kBehindReturnMs = 2700;
 /** Longest time until a held read that was lost counts as failed. */
 constexpr int kHeldReadMs = static_cast<int>(
-  (TableFollower::kDutyWait + TableFollower::kStoreSlack).count());
+  (TableFollower::kPollWait + TableFollower::kResponseMargin).count());
 
 TEST(StoreCopyWorldTest, ChangesAreInForceSoonBehindAnyNumberOfCopies)
 {
   EXPECT_TRUE(rc::check("copies", [] {
-    const auto how = *rc::gen::element(Away::Resets, Away::Silent);
+    const auto how = *rc::gen::element(Away::Resets, Away::Unresponsive);
     const auto count = *rc::gen::inRange<std::size_t>(1, 7);
     World world(count, how, *rc::gen::arbitrary<unsigned>());
     int awayMs = 0;
@@ -439,7 +439,7 @@
     world.WriteAgain();
     world.Change();
     const int noticedMs =
-      how == Away::Silent ? std::max(0, kHeldReadMs - awayMs) : 0;
+      how == Away::Unresponsive ? std::max(0, kHeldReadMs - awayMs) : 0;
     world.Play(
       std::max(noticedMs + 300 + kInForceMs, kBehindReturnMs - rewrittenMs));
     RC_ASSERT(world.NothingFell());
--- a/packages/relay/tests/StoreGenerationTest.cpp
+++ b/packages/relay/tests/StoreGenerationTest.cpp
@@ -55,8 +55,8 @@
 
 enum class State
 {
-  OnDuty,
-  Resting,
+  Poller,
+  Standby,
   Lost, ///< The instance's reads fail.
 };
 
@@ -79,8 +79,8 @@
   GenerationSightTest()
   {
     Handle(TableRead{ { { "a", "1", false, 50 } }, kHeld });
-    if (GetParam().m_state == State::Resting) {
-      Handle(DutyChanged{ false, false });
+    if (GetParam().m_state == State::Standby) {
+      Handle(PollingChanged{ false, false });
       // Answer to the read that was under way.
       Handle(ChangesRead{ {}, kHeld });
     }
@@ -114,30 +114,30 @@
   Sights,
   GenerationSightTest,
   ::testing::Values(
-    SightCase{ "Forgotten", State::OnDuty, HistoryGone{ kNext }, true, false },
+    SightCase{ "Forgotten", State::Poller, HistoryLost{ kNext }, true, false },
     SightCase{ "Changes",
-               State::OnDuty,
+               State::Poller,
                ChangesRead{ { { "b", "1", false, 60 } }, { kNext, 60 } },
                true,
                false },
     SightCase{ "NoChanges",
-               State::OnDuty,
+               State::Poller,
                ChangesRead{ {}, { kNext, 54 } },
                true,
                false },
     SightCase{ "OtherAnswer",
-               State::OnDuty,
+               State::Poller,
                GenerationSeen{ kNext },
                true,
                false },
-    SightCase{ "Peer", State::OnDuty, PeerIsAhead{ kOfCopy }, true, false },
+    SightCase{ "Peer", State::Poller, PeerIsAhead{ kOfCopy }, true, false },
     SightCase{ "PeerOfOneAtRest",
-               State::Resting,
+               State::Standby,
                PeerIsAhead{ kOfCopy },
                false,
                true },
     SightCase{ "OtherAnswerOfOneAtRest",
-               State::Resting,
+               State::Standby,
                GenerationSeen{ kNext },
                false,
                true },
@@ -159,37 +159,37 @@
   TableFollower m_follower;
 };
 
-TEST_F(OlderCopyTest, IsTakenAndSaidToBeOne)
+TEST_F(OlderCopyTest, IsAcceptedAndMarkedAsCopy)
 {
   Handle(
     TableRead{ { { "a", "2", false, 50 }, { "b", "1", false, 52 } }, kHeld });
-  Handle(HistoryGone{ kNext }, 10);
+  Handle(HistoryLost{ kNext }, 10);
   const auto actions =
     Handle(TableRead{ { { "a", "1", false, 20 } }, kOfCopy }, 20);
   const auto* apply = Find<ApplyRows>(actions);
   ASSERT_NE(apply, nullptr);
-  EXPECT_EQ(apply->m_copyAfter, kHeld);
+  EXPECT_EQ(apply->m_positionBeforeCopy, kHeld);
   ASSERT_EQ(apply->m_rows.size(), 2U);
   EXPECT_EQ(apply->m_rows[0].m_value, "1");
   EXPECT_TRUE(apply->m_rows[1].m_removed);
   // The row may come back, although no read has failed.
-  EXPECT_EQ(apply->m_lapsesUntil,
-            Instant{ Duration{ 10 } + LapseGrace::kLapseTime });
+  EXPECT_EQ(apply->m_graceUntil,
+            Instant{ Duration{ 10 } + ExpiryGrace::kGracePeriod });
   EXPECT_EQ(m_follower.Position(), kOfCopy);
   EXPECT_EQ(m_follower.ChangedPosition(), (StorePosition{ kNext, 20 }));
   // Later changes are ordinary changes again.
   const auto later =
     Handle(ChangesRead{ { { "b", "1", false, 31 } }, { kNext, 31 } }, 30);
   ASSERT_NE(Find<ApplyRows>(later), nullptr);
-  EXPECT_FALSE(Find<ApplyRows>(later)->m_copyAfter.has_value());
+  EXPECT_FALSE(Find<ApplyRows>(later)->m_positionBeforeCopy.has_value());
 }
 
 // Guards against data of the previous generation: answers and slices that were
 // made before the store went away may arrive after its return.
-TEST_F(OlderCopyTest, NothingOfTheGenerationBeforeIsTaken)
+TEST_F(OlderCopyTest, AnswersOfPreviousGenerationAreRejected)
 {
   Handle(TableRead{ {}, kHeld });
-  Handle(HistoryGone{ kNext });
+  Handle(HistoryLost{ kNext });
   const StorePosition late = PositionAt(99);
   const auto whole = Handle(TableRead{ { { "a", "1" } }, late });
   EXPECT_EQ(Find<ApplyRows>(whole), nullptr);
@@ -207,7 +207,7 @@
 // whose reads fail, and were answered after a peer had delivered the present
 // generation. The answer lacks the changes of that generation below the version
 // that the request named.
-TEST_F(OlderCopyTest, ChangesAskedOfTheOneBeforeAreNotAllThereAre)
+TEST_F(OlderCopyTest, ChangesRequestedOfPreviousGenerationAreIncomplete)
 {
   Handle(TableRead{ {}, kHeld });
   Handle(ReadFailed{ "away" });
@@ -225,19 +225,19 @@
 // Guards against waiting for a read that was lost with the previous generation.
 // An instance that has just stopped polling still has a held read under way;
 // that read must not keep it from asking.
-TEST_F(OlderCopyTest, AReadUnderWayIsGivenUp)
+TEST_F(OlderCopyTest, ReadUnderWayIsCancelled)
 {
   Handle(TableRead{ {}, kHeld });
-  Handle(DutyChanged{ false, false });
+  Handle(PollingChanged{ false, false });
   const auto actions = Handle(PeerIsAhead{ kOfCopy }, 10);
-  EXPECT_NE(Find<DropRead>(actions), nullptr);
+  EXPECT_NE(Find<CancelRead>(actions), nullptr);
   EXPECT_NE(Find<AskPeer>(actions), nullptr);
   EXPECT_NE(Find<ReadTable>(Handle(RetryDue{}, 900)), nullptr);
 }
 
-TEST_F(OlderCopyTest, OneAtRestTakesItFromAPeer)
+TEST_F(OlderCopyTest, StandbyInstanceTakesCopyFromPeer)
 {
-  Handle(DutyChanged{ false, false });
+  Handle(PollingChanged{ false, false });
   Handle(TableRead{ { { "a", "2", false, 50 } }, kHeld });
   const auto asks = Handle(PeerIsAhead{ kOfCopy }, 10);
   ASSERT_NE(Find<AskPeer>(asks), nullptr);
@@ -245,18 +245,18 @@
   const TableSlice slice{ kOfCopy, true, { { "a", "1", false, 20 } } };
   const auto taken = Handle(PeerAnswered{ slice }, 20);
   ASSERT_NE(Find<ApplyRows>(taken), nullptr);
-  EXPECT_EQ(Find<ApplyRows>(taken)->m_copyAfter, kHeld);
+  EXPECT_EQ(Find<ApplyRows>(taken)->m_positionBeforeCopy, kHeld);
   // The instance goes back on standby.
   EXPECT_EQ(Find<ReadTable>(taken), nullptr);
 }
 
-TEST_F(OlderCopyTest, OneAtRestReadsItIfNoPeerHasIt)
+TEST_F(OlderCopyTest, StandbyInstanceReadsStoreIfNoPeerHasCopy)
 {
-  Handle(DutyChanged{ false, false });
+  Handle(PollingChanged{ false, false });
   Handle(TableRead{ {}, kHeld });
   const auto asks = Handle(GenerationSeen{ kNext }, 10);
   ASSERT_NE(Find<RetryLater>(asks), nullptr);
-  EXPECT_EQ(Find<RetryLater>(asks)->m_delay, TableFollower::kAskPatience);
+  EXPECT_EQ(Find<RetryLater>(asks)->m_delay, TableFollower::kAskPeerTimeout);
   // Another peer is asked.
   EXPECT_NE(Find<AskPeer>(Handle(PeerFailed{}, 200)), nullptr);
   EXPECT_NE(Find<ReadTable>(Handle(RetryDue{}, 810)), nullptr);
@@ -267,10 +267,10 @@
 // whole table, and asked no peer while that read was under way, which took 2.5
 // s or more. Found by enumerating all states that two faults lead to
 // (`FreshnessModelTest`).
-TEST_F(OlderCopyTest, OneThatTheStoreDoesNotAnswerTakesItFromAPeer)
+TEST_F(OlderCopyTest, IgnoredInstanceTakesCopyFromPeer)
 {
   constexpr int kBehind =
-    static_cast<int>(TableFollower::kBehindPatience.count());
+    static_cast<int>(TableFollower::kBehindTimeout.count());
   Handle(TableRead{ { { "a", "2", false, 50 } }, kHeld });
   const auto seen = Handle(PeerIsAhead{ kOfCopy }, 10);
   EXPECT_NE(Find<ReadTable>(seen), nullptr);
@@ -280,7 +280,7 @@
   const auto asks = Handle(PeerIsAhead{ kOfCopy }, 110 + kBehind);
   EXPECT_NE(Find<AskPeer>(asks), nullptr);
   // The store may still answer the read.
-  EXPECT_EQ(Find<DropRead>(asks), nullptr);
+  EXPECT_EQ(Find<CancelRead>(asks), nullptr);
   const TableSlice slice{ kOfCopy, true, { { "a", "1", false, 20 } } };
   EXPECT_NE(Find<ApplyRows>(Handle(PeerAnswered{ slice }, 700)), nullptr);
   EXPECT_EQ(m_follower.Position(), kOfCopy);
--- a/packages/relay/tests/StoreReturnTest.cpp
+++ b/packages/relay/tests/StoreReturnTest.cpp
@@ -18,7 +18,7 @@
 /** How the store behaves during the outage. */
 enum class Away
 {
-  Silent, ///< The store accepts calls and does not respond.
+  Unresponsive, ///< The store accepts calls and does not respond.
   Refuses,
 };
 
@@ -26,7 +26,7 @@
 {
   int m_from = 0;
   int m_to = 0;
-  Away m_how = Away::Silent;
+  Away m_how = Away::Unresponsive;
   bool Has(int aAt) const { return aAt >= m_from && aAt < m_to; }
 };
 
@@ -38,24 +38,24 @@
 class World
 {
 public:
-  static constexpr std::size_t kOnDuty = 2;
+  static constexpr std::size_t kPollers = 2;
   static constexpr int kAnswerMs = 5;
   /** Time between two messages of an instance to all others. */
-  static constexpr int kWordMs = 70;
+  static constexpr int kMessageIntervalMs = 70;
   /** Time between two checks of which instances poll. */
   static constexpr int kTickMs = 200;
 
   /**
-   * `aTurnedAway`: number of instances that the outage affects. All others are
+   * `aRejected`: number of instances that the outage affects. All others are
    * served.
    */
-  World(std::size_t aCount, Outage aOutage, std::size_t aTurnedAway)
+  World(std::size_t aCount, Outage aOutage, std::size_t aRejected)
     : m_nodes(aCount)
     , m_outage(aOutage)
-    , m_turnedAway(aTurnedAway)
+    , m_rejected(aRejected)
   {
     for (std::size_t i = 0; i < aCount; ++i) {
-      Take(i, DutyChanged{ i < kOnDuty, i < kOnDuty });
+      Take(i, PollingChanged{ i < kPollers, i < kPollers });
       Take(i, TableRead{ {}, PositionAt(1) });
     }
   }
@@ -96,14 +96,14 @@
     /** Time when the peer that was asked answers. */
     int m_peerAt = kNever;
     bool m_lost = false;
-    bool m_onDuty = true;
+    bool m_isPoller = true;
   };
 
   Instant Now() const { return Instant{ Duration{ m_now } }; }
 
   bool IsAway(std::size_t aWho) const
   {
-    return m_outage.Has(m_now) && aWho < m_turnedAway;
+    return m_outage.Has(m_now) && aWho < m_rejected;
   }
 
   void Take(std::size_t aWho, const FollowEvent& aEvent)
@@ -121,18 +121,18 @@
     aNode.m_sentAt = m_now;
     aNode.m_after = aRead.m_after;
     aNode.m_heldUntil = m_now + static_cast<int>(aRead.m_wait.count());
-    aNode.m_failsAt = m_now + static_cast<int>(aRead.m_patience.count());
+    aNode.m_failsAt = m_now + static_cast<int>(aRead.m_readTimeout.count());
   }
   void Do(Node& aNode, const RetryLater& aLater)
   {
-    const Duration latest = aLater.m_delay + aLater.m_within;
+    const Duration latest = aLater.m_delay + aLater.m_jitter;
     aNode.m_dueAt = m_now + static_cast<int>(latest.count());
   }
   void Do(Node& aNode, const AskPeer& aAsk)
   {
-    aNode.m_peerAt = m_now + static_cast<int>(aAsk.m_within.count()) + 1;
+    aNode.m_peerAt = m_now + static_cast<int>(aAsk.m_jitter.count()) + 1;
   }
-  void Do(Node& aNode, const DropRead&) { aNode.m_sentAt = kNever; }
+  void Do(Node& aNode, const CancelRead&) { aNode.m_sentAt = kNever; }
   void Do(Node& aNode, const StoreLost&) { aNode.m_lost = true; }
   void Do(Node& aNode, const StoreBack&) { aNode.m_lost = false; }
   template<typename Other>
@@ -144,7 +144,7 @@
   {
     Node& node = m_nodes[aWho];
     if (m_now % kTickMs == 0) {
-      LookAtDuty(aWho);
+      UpdatePolling(aWho);
     }
     if (node.m_dueAt != kNever && m_now >= node.m_dueAt) {
       node.m_dueAt = kNever;
@@ -157,19 +157,19 @@
     if (node.m_sentAt != kNever) {
       StepRead(aWho);
     }
-    if (m_now % kWordMs == static_cast<int>(aWho)) {
-      TellOthers(aWho);
+    if (m_now % kMessageIntervalMs == static_cast<int>(aWho)) {
+      NotifyPeers(aWho);
     }
   }
 
-  void LookAtDuty(std::size_t aWho)
+  void UpdatePolling(std::size_t aWho)
   {
     bool hears = false;
-    for (std::size_t i = 0; i < std::min(kOnDuty, m_nodes.size()); ++i) {
+    for (std::size_t i = 0; i < std::min(kPollers, m_nodes.size()); ++i) {
       hears = hears || (i != aWho && !m_nodes[i].m_lost);
     }
-    m_nodes[aWho].m_onDuty = aWho < kOnDuty || !hears;
-    Take(aWho, DutyChanged{ m_nodes[aWho].m_onDuty, aWho < kOnDuty });
+    m_nodes[aWho].m_isPoller = aWho < kPollers || !hears;
+    Take(aWho, PollingChanged{ m_nodes[aWho].m_isPoller, aWho < kPollers });
   }
 
   void AnswerAsPeer(std::size_t aWho)
@@ -219,7 +219,7 @@
     }
   }
 
-  void TellOthers(std::size_t aWho)
+  void NotifyPeers(std::size_t aWho)
   {
     const StorePosition position = m_nodes[aWho].m_follower.ChangedPosition();
     for (std::size_t i = 0; i < m_nodes.size(); ++i) {
@@ -231,7 +231,7 @@
 
   std::vector<Node> m_nodes;
   Outage m_outage;
-  std::size_t m_turnedAway;
+  std::size_t m_rejected;
   int m_changeAt = kNever;
   int m_now = 0;
   std::size_t m_reads = 0;
@@ -245,14 +245,14 @@
 
 /** Longest time until a held read counts as failed. */
 constexpr int kHeldReadMs = static_cast<int>(
-  (TableFollower::kDutyWait + TableFollower::kStoreSlack).count());
+  (TableFollower::kPollWait + TableFollower::kResponseMargin).count());
 
 struct ReturnCase
 {
   const char* m_name;
   std::size_t m_instances;
   /** Number of instances that the outage affects; they are the first ones. */
-  std::size_t m_turnedAway;
+  std::size_t m_rejected;
   Outage m_outage;
 };
 
@@ -263,7 +263,7 @@
 TEST_P(StoreReturnTest, AChangeIsInForceSoonAfterIt)
 {
   const ReturnCase& given = GetParam();
-  World world(given.m_instances, given.m_outage, given.m_turnedAway);
+  World world(given.m_instances, given.m_outage, given.m_rejected);
   world.ChangeAt(given.m_outage.m_to);
   world.Play(given.m_outage.m_to + kInForceMs);
   EXPECT_TRUE(world.AllHaveTheChange());
@@ -273,12 +273,12 @@
   Outages,
   StoreReturnTest,
   ::testing::Values(
-    ReturnCase{ "AsItWasSeen", 9, 9, { 24'900, 34'200, Away::Silent } },
-    ReturnCase{ "ALittleLater", 9, 9, { 24'900, 34'900, Away::Silent } },
-    ReturnCase{ "Alone", 1, 1, { 5000, 12'500, Away::Silent } },
+    ReturnCase{ "AsItWasSeen", 9, 9, { 24'900, 34'200, Away::Unresponsive } },
+    ReturnCase{ "ALittleLater", 9, 9, { 24'900, 34'900, Away::Unresponsive } },
+    ReturnCase{ "Alone", 1, 1, { 5000, 12'500, Away::Unresponsive } },
     ReturnCase{ "Refusing", 9, 9, { 5000, 12'500, Away::Refuses } },
     ReturnCase{ "AloneRefused", 1, 1, { 5000, 12'500, Away::Refuses } },
-    ReturnCase{ "Short", 9, 9, { 5000, 6000, Away::Silent } }),
+    ReturnCase{ "Short", 9, 9, { 5000, 6000, Away::Unresponsive } }),
   [](const auto& aInfo) { return std::string(aInfo.param.m_name); });
 
 TEST(StoreReturnWorldTest, AChangeIsInForceSoonAfterAnyOutage)
@@ -286,7 +286,7 @@
   EXPECT_TRUE(rc::check("return", [] {
     const int from = *rc::gen::inRange(1000, 6000);
     const int length = *rc::gen::inRange(100, 12'000);
-    const auto how = *rc::gen::element(Away::Silent, Away::Refuses);
+    const auto how = *rc::gen::element(Away::Unresponsive, Away::Refuses);
     const auto count = *rc::gen::inRange<std::size_t>(1, 7);
     const Outage outage{ from, from + length, how };
     World world(count, outage, count);
@@ -306,7 +306,7 @@
 {
   EXPECT_TRUE(rc::check("rejected by the store", [] {
     const int from = *rc::gen::inRange(1000, 6000);
-    const auto how = *rc::gen::element(Away::Silent, Away::Refuses);
+    const auto how = *rc::gen::element(Away::Unresponsive, Away::Refuses);
     const Outage outage{ from, from + 20'000, how };
     World world(6, outage, *rc::gen::inRange<std::size_t>(1, 6));
     const int changeAt = from + *rc::gen::inRange(0, 10'000);
@@ -322,18 +322,19 @@
 // Guards against hundreds of calls per second during an outage with hundreds of
 // instances. Each instance on standby may make at most four calls during the
 // outage.
-TEST(StoreReturnWorldTest, AnOutageIsWatchedByFew)
+TEST(StoreReturnWorldTest, FewInstancesProbeDuringOutage)
 {
   constexpr std::size_t kInstances = 60;
   constexpr int kAwayMs = 9000;
-  World world(kInstances, { 3000, 3000 + kAwayMs, Away::Silent }, kInstances);
+  World world(
+    kInstances, { 3000, 3000 + kAwayMs, Away::Unresponsive }, kInstances);
   world.Play(3000);
   const std::size_t before = world.Reads();
   world.Play(3000 + kAwayMs);
   const auto slack =
-    static_cast<std::size_t>(TableFollower::kStoreSlack.count());
-  const std::size_t onDuty = World::kOnDuty * (kAwayMs / slack + 1);
-  const std::size_t atRest = (kInstances - World::kOnDuty) * 4;
+    static_cast<std::size_t>(TableFollower::kResponseMargin.count());
+  const std::size_t onDuty = World::kPollers * (kAwayMs / slack + 1);
+  const std::size_t atRest = (kInstances - World::kPollers) * 4;
   EXPECT_LE(world.Reads() - before, onDuty + atRest);
 }
 
--- a/packages/relay/tests/TableFollowerPeersTest.cpp
+++ b/packages/relay/tests/TableFollowerPeersTest.cpp
@@ -30,12 +30,12 @@
   return { PositionAt(aVersion), aWhole, { { "a", aValue, false, aVersion } } };
 }
 
-class RestingTest : public ::testing::Test
+class StandbyTest : public ::testing::Test
 {
 protected:
-  RestingTest()
+  StandbyTest()
   {
-    Handle(DutyChanged{ false });
+    Handle(PollingChanged{ false });
     Handle(TableRead{ {}, PositionAt(9) });
   }
 
@@ -47,15 +47,15 @@
   TableFollower m_follower;
 };
 
-TEST_F(RestingTest, AsksAPeerForWhatItHasReadFurther)
+TEST_F(StandbyTest, AsksAPeerForWhatItHasReadFurther)
 {
   EXPECT_TRUE(Handle(PeerIsAhead{ PositionAt(9) }, 100).empty());
   const auto first = Handle(PeerIsAhead{ PositionAt(12) }, 200);
   ASSERT_NE(Find<AskPeer>(first), nullptr);
   EXPECT_EQ(Find<AskPeer>(first)->m_after, PositionAt(9));
-  EXPECT_EQ(Find<AskPeer>(first)->m_within, TableFollower::kAskWithin);
+  EXPECT_EQ(Find<AskPeer>(first)->m_jitter, TableFollower::kAskSpread);
   ASSERT_NE(Find<RetryLater>(first), nullptr);
-  EXPECT_EQ(Find<RetryLater>(first)->m_delay, TableFollower::kAskPatience);
+  EXPECT_EQ(Find<RetryLater>(first)->m_delay, TableFollower::kAskPeerTimeout);
   // A peer has already been asked.
   EXPECT_TRUE(Handle(PeerIsAhead{ PositionAt(13) }, 300).empty());
   const auto rest = Handle(PeerAnswered{ Slice(13, false, "1") }, 350);
@@ -67,7 +67,7 @@
             nullptr);
 }
 
-TEST_F(RestingTest, ReadsTheStoreIfNoPeerHelps)
+TEST_F(StandbyTest, ReadsTheStoreIfNoPeerHelps)
 {
   Handle(PeerIsAhead{ PositionAt(12) }, 200);
   // Another peer is asked.
@@ -82,7 +82,7 @@
 
 // Guards against a second question to a peer: a peer that was asked before the
 // store answered has nothing newer.
-TEST_F(RestingTest, AsksNobodyOnceTheStoreHasAnswered)
+TEST_F(StandbyTest, AsksNobodyOnceTheStoreHasAnswered)
 {
   Handle(PeerIsAhead{ PositionAt(12) }, 200);
   Handle(RetryDue{}, 1000);
@@ -99,7 +99,7 @@
 };
 
 class BadSliceTest
-  : public RestingTest
+  : public StandbyTest
   , public ::testing::WithParamInterface<BadSliceCase>
 {};
 
@@ -128,7 +128,7 @@
 {
   const char* m_name;
   bool m_anyPeers;
-  bool m_onDuty;
+  bool m_isPoller;
   /** Number of `RetryDue` events until it reads the store. */
   int m_readsAtDue;
 };
@@ -142,8 +142,8 @@
   const auto handle = [&](const FollowEvent& aEvent) {
     return follower.Handle(aEvent, Instant{});
   };
-  EXPECT_NE(Find<RetryLater>(handle(FollowBegan{})), nullptr);
-  handle(DutyChanged{ GetParam().m_onDuty });
+  EXPECT_NE(Find<RetryLater>(handle(FollowStarted{})), nullptr);
+  handle(PollingChanged{ GetParam().m_isPoller });
   auto actions = handle(PeersListed{ GetParam().m_anyPeers });
   EXPECT_EQ(Find<AskPeer>(actions) != nullptr, GetParam().m_anyPeers);
   for (int i = 1; i <= TableFollower::kStartTries; ++i) {
@@ -171,8 +171,8 @@
 TEST(TableFollowerStartTest, TakesTheTableOfAPeerWhileTheStoreIsAway)
 {
   TableFollower follower;
-  follower.Handle(FollowBegan{}, Instant{});
-  follower.Handle(DutyChanged{ false }, Instant{});
+  follower.Handle(FollowStarted{}, Instant{});
+  follower.Handle(PollingChanged{ false }, Instant{});
   const auto ask = follower.Handle(PeerIsAhead{ PositionAt(7) }, Instant{});
   ASSERT_NE(Find<AskPeer>(ask), nullptr);
   EXPECT_EQ(Find<AskPeer>(ask)->m_after, PositionAt(0));
@@ -189,7 +189,7 @@
 class World
 {
 public:
-  static constexpr std::size_t kOnDuty = 2;
+  static constexpr std::size_t kPollers = 2;
 
   explicit World(std::size_t aCount)
     : m_followers(aCount)
@@ -198,8 +198,8 @@
   {
     m_store.Replace({}, PositionAt(1));
     for (std::size_t i = 0; i < aCount; ++i) {
-      Take(i, FollowBegan{});
-      Take(i, DutyChanged{ i < kOnDuty });
+      Take(i, FollowStarted{});
+      Take(i, PollingChanged{ i < kPollers });
       Take(i, PeersListed{ true });
     }
   }
@@ -252,7 +252,7 @@
                        });
   }
 
-  std::size_t ReadsAtRest() const { return m_readsAtRest; }
+  std::size_t StandbyReads() const { return m_standbyReads; }
 
 private:
   void Take(std::size_t aWho, const FollowEvent& aEvent)
@@ -324,14 +324,14 @@
     return aWho;
   }
 
-  void NoteRead(std::size_t aWho) { m_readsAtRest += aWho < kOnDuty ? 0 : 1; }
+  void NoteRead(std::size_t aWho) { m_standbyReads += aWho < kPollers ? 0 : 1; }
 
   FollowedTable m_store;
   std::vector<TableFollower> m_followers;
   std::vector<std::vector<FollowAction>> m_pending;
   std::vector<Instant> m_dueAt;
   std::size_t m_picked = 0;
-  std::size_t m_readsAtRest = 0;
+  std::size_t m_standbyReads = 0;
   /**
    * True while no row was reported whose version is higher than its table's.
    */
@@ -356,7 +356,7 @@
 
 // Guards against a number of store calls for each change that grows with the
 // deployment.
-TEST(TableFollowerPeersWorldTest, ThoseAtRestDoNotAskTheStore)
+TEST(TableFollowerPeersWorldTest, StandbyInstancesDoNotReadTheStore)
 {
   World world(60);
   for (std::uint64_t version = 2; version < 12; ++version) {
@@ -366,7 +366,7 @@
     }
   }
   EXPECT_TRUE(world.AllHaveTheStoresRows());
-  EXPECT_EQ(world.ReadsAtRest(), 0U);
+  EXPECT_EQ(world.StandbyReads(), 0U);
 }
 
 // Guards against an instance that ignores its peers. If the store goes on
--- a/packages/relay/tests/TableFollowerTest.cpp
+++ b/packages/relay/tests/TableFollowerTest.cpp
@@ -33,7 +33,7 @@
 
 TEST_F(TableFollowerTest, ReadsTheTableThenItsChanges)
 {
-  Handle(FollowBegan{});
+  Handle(FollowStarted{});
   EXPECT_NE(Find<ReadTable>(Handle(PeersListed{ false })), nullptr);
   const auto actions = Handle(TableRead{ { { "a", "1" } }, PositionAt(5) });
   ASSERT_NE(Find<ApplyRows>(actions), nullptr);
@@ -42,11 +42,11 @@
   EXPECT_EQ(Find<ReadChanges>(actions)->m_after, PositionAt(5));
 }
 
-TEST_F(TableFollowerTest, ATableReadAgainTellsOnlyWhatDiffers)
+TEST_F(TableFollowerTest, TableReadAgainReportsOnlyDifferences)
 {
   Handle(
     TableRead{ { { "a", "1" }, { "b", "1" }, { "c", "1" } }, PositionAt(5) });
-  EXPECT_NE(Find<ReadTable>(Handle(HistoryGone{})), nullptr);
+  EXPECT_NE(Find<ReadTable>(Handle(HistoryLost{})), nullptr);
   const auto actions =
     Handle(TableRead{ { { "a", "1" }, { "b", "2" } }, PositionAt(9) });
   const auto* apply = Find<ApplyRows>(actions);
@@ -62,14 +62,14 @@
 TEST_F(TableFollowerTest, AnOlderTableIsNotTaken)
 {
   Handle(TableRead{ { { "a", "2" } }, PositionAt(9) });
-  Handle(HistoryGone{});
+  Handle(HistoryLost{});
   const auto actions = Handle(TableRead{ { { "a", "1" } }, PositionAt(5) });
   EXPECT_EQ(Find<ApplyRows>(actions), nullptr);
   EXPECT_NE(Find<RetryLater>(actions), nullptr);
   EXPECT_EQ(m_follower.Position(), PositionAt(9));
 }
 
-TEST_F(TableFollowerTest, OneLineForAnOutageAndOneForItsEnd)
+TEST_F(TableFollowerTest, OutageAndItsEndAreReportedOnce)
 {
   Handle(TableRead{ {}, PositionAt(1) });
   EXPECT_NE(Find<StoreLost>(Handle(ReadFailed{ "x" })), nullptr);
@@ -96,22 +96,22 @@
  * comes at 2,000 ms. `m_untilMs` is until when the row may only have expired; 0
  * if it is gone.
  */
-struct LapseCase
+struct RowExpiryCase
 {
   const char* m_name;
   int m_readAtMs;
   int m_untilMs;
 };
 
-class LapseTest
+class RowExpiryTest
   : public TableFollowerTest
-  , public ::testing::WithParamInterface<LapseCase>
+  , public ::testing::WithParamInterface<RowExpiryCase>
 {};
 
 // Guards against a grace period that depends on when the removal is read.
 // Removals are final again three seconds after the store's return, and the
 // return is at most one unanswered read before the first answer.
-TEST_P(LapseTest, EndsAtOneMomentHoweverLateTheRemovalIsRead)
+TEST_P(RowExpiryTest, GracePeriodEndDoesNotDependOnReadTime)
 {
   Handle(TableRead{ { { "a", "1" } }, PositionAt(1) });
   Handle(ReadFailed{ "x" }, 1000);
@@ -120,20 +120,19 @@
     ChangesRead{ { { "a", {}, true } }, PositionAt(2) }, GetParam().m_readAtMs);
   const auto* apply = Find<ApplyRows>(actions);
   ASSERT_NE(apply, nullptr);
-  const auto until = apply->m_lapsesUntil.value_or(Instant{});
+  const auto until = apply->m_graceUntil.value_or(Instant{});
   EXPECT_EQ(until, Instant{ Duration{ GetParam().m_untilMs } });
-  const Instant returned{ Duration{ 2000 } - TableFollower::kStoreSlack };
+  const Instant returned{ Duration{ 2000 } - TableFollower::kResponseMargin };
   EXPECT_LT(until, returned + Duration{ 3000 });
 }
 
-INSTANTIATE_TEST_SUITE_P(Times,
-                         LapseTest,
-                         ::testing::Values(LapseCase{ "AtOnce", 2000, 4100 },
-                                           LapseCase{ "Late", 4000, 4100 },
-                                           LapseCase{ "TooLate", 4100, 0 }),
-                         [](const auto& aInfo) {
-                           return std::string(aInfo.param.m_name);
-                         });
+INSTANTIATE_TEST_SUITE_P(
+  Times,
+  RowExpiryTest,
+  ::testing::Values(RowExpiryCase{ "AtOnce", 2000, 4100 },
+                    RowExpiryCase{ "Late", 4000, 4100 },
+                    RowExpiryCase{ "TooLate", 4100, 0 }),
+  [](const auto& aInfo) { return std::string(aInfo.param.m_name); });
 
 // Releases and rolling changes write many rows in quick succession. One read
 // must cover several of them.
@@ -148,20 +147,20 @@
   EXPECT_NE(Find<ReadChanges>(Handle(RetryDue{})), nullptr);
 }
 
-TEST_F(TableFollowerTest, OnDutyItAsksAllTheTimeElseItRests)
+TEST_F(TableFollowerTest, PollersReadContinuouslyAndOthersStandBy)
 {
   const auto onDuty = Handle(TableRead{ {}, PositionAt(1) });
   ASSERT_NE(Find<ReadChanges>(onDuty), nullptr);
-  EXPECT_EQ(Find<ReadChanges>(onDuty)->m_wait, TableFollower::kDutyWait);
-  EXPECT_TRUE(Handle(DutyChanged{ false }).empty());
+  EXPECT_EQ(Find<ReadChanges>(onDuty)->m_wait, TableFollower::kPollWait);
+  EXPECT_TRUE(Handle(PollingChanged{ false }).empty());
   const auto rest = Handle(ChangesRead{ {}, PositionAt(1) });
   EXPECT_EQ(Find<ReadChanges>(rest), nullptr);
   ASSERT_NE(Find<RetryLater>(rest), nullptr);
-  EXPECT_EQ(Find<RetryLater>(rest)->m_delay, TableFollower::kLongestRest);
-  const auto back = Handle(DutyChanged{ true });
+  EXPECT_EQ(Find<RetryLater>(rest)->m_delay, TableFollower::kStandbyTimeout);
+  const auto back = Handle(PollingChanged{ true });
   ASSERT_NE(Find<ReadChanges>(back), nullptr);
-  EXPECT_EQ(Find<ReadChanges>(back)->m_wait, TableFollower::kDutyWait);
-  EXPECT_TRUE(Handle(DutyChanged{ true }).empty());
+  EXPECT_EQ(Find<ReadChanges>(back)->m_wait, TableFollower::kPollWait);
+  EXPECT_TRUE(Handle(PollingChanged{ true }).empty());
   // The timer set for standby fires too late.
   EXPECT_TRUE(Handle(RetryDue{}).empty());
 }
@@ -185,14 +184,14 @@
 
 // Guards against waiting for a read that the store will never answer, because
 // its outage began after the read was sent.
-TEST_P(PeerTest, AReadThatMustHaveBeenLostIsMadeAgain)
+TEST_P(PeerTest, LostReadIsSentAgain)
 {
   Handle(TableRead{ { { "a", "1", false, 5 } }, PositionAt(9) });
   EXPECT_EQ(m_follower.ChangedPosition(), PositionAt(5));
   std::size_t dropped = 0;
   for (const auto& [at, version] : GetParam().m_told) {
     const auto actions = Handle(PeerIsAhead{ PositionAt(version) }, at);
-    if (Find<DropRead>(actions) != nullptr) {
+    if (Find<CancelRead>(actions) != nullptr) {
       ++dropped;
       ASSERT_NE(Find<ReadChanges>(actions), nullptr);
       EXPECT_EQ(Find<ReadChanges>(actions)->m_after, PositionAt(9));
@@ -216,9 +215,9 @@
 
 // After a loss of all instances, the first ones that have read the table report
 // it to all others. This must not cancel the whole reads of the others.
-TEST_F(TableFollowerTest, AWholeReadIsNotGivenUpForAPeersNews)
+TEST_F(TableFollowerTest, PeerReportDoesNotCancelWholeRead)
 {
-  Handle(FollowBegan{});
+  Handle(FollowStarted{});
   EXPECT_NE(Find<ReadTable>(Handle(PeersListed{ false })), nullptr);
   EXPECT_TRUE(Handle(PeerIsAhead{ PositionAt(12) }, 0).empty());
   EXPECT_TRUE(Handle(PeerIsAhead{ PositionAt(12) }, 900).empty());
@@ -233,8 +232,8 @@
   const auto soon =
     Handle(ChangesRead{ { { "a", {}, true, 2 } }, PositionAt(2) }, 2000);
   ASSERT_NE(Find<ApplyRows>(soon), nullptr);
-  EXPECT_EQ(Find<ApplyRows>(soon)->m_lapsesUntil,
-            Instant{ Duration{ 1000 } + LapseGrace::kPeerLapseTime });
+  EXPECT_EQ(Find<ApplyRows>(soon)->m_graceUntil,
+            Instant{ Duration{ 1000 } + ExpiryGrace::kPeerGracePeriod });
 }
 
 /**
@@ -249,7 +248,7 @@
    * 300 ms.
    */
   std::vector<std::pair<int, int>> m_steady;
-  bool m_lapses;
+  bool m_mayHaveExpired;
 };
 
 class TurnedAwayTest
@@ -262,7 +261,7 @@
 // time had not expired, but got calls for two more seconds. After a cut of a
 // data centre, though, its upstreams' rows have expired, and the upstreams are
 // sound.
-TEST_P(TurnedAwayTest, OnlyAnOutageOfAllMakesLapses)
+TEST_P(TurnedAwayTest, RowsExpireOnlyInOutageForAll)
 {
   Handle(TableRead{ { { "a", "1" } }, PositionAt(1) });
   bool failed = false;
@@ -280,13 +279,13 @@
     Handle(ChangesRead{ { { "a", {}, true, 2 } }, PositionAt(2) }, 8000);
   const auto* apply = Find<ApplyRows>(actions);
   ASSERT_NE(apply, nullptr);
-  EXPECT_EQ(apply->m_lapsesUntil.has_value(), GetParam().m_lapses);
+  EXPECT_EQ(apply->m_graceUntil.has_value(), GetParam().m_mayHaveExpired);
   Handle(PeerReadsSteadily{}, 8300); // A later report ends no grace period.
   const auto later =
     Handle(ChangesRead{ { { "b", {}, true, 3 } }, PositionAt(3) }, 8400);
   ASSERT_NE(Find<ApplyRows>(later), nullptr);
-  EXPECT_EQ(Find<ApplyRows>(later)->m_lapsesUntil.has_value(),
-            GetParam().m_lapses);
+  EXPECT_EQ(Find<ApplyRows>(later)->m_graceUntil.has_value(),
+            GetParam().m_mayHaveExpired);
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -313,7 +312,7 @@
     std::uint64_t version = 1;
     std::uint64_t forgotten = 0;
     Instant now{};
-    std::vector<FollowAction> pending = follower.Handle(FollowBegan{}, now);
+    std::vector<FollowAction> pending = follower.Handle(FollowStarted{}, now);
     const auto take = [&](std::vector<FollowAction> aActions) {
       for (FollowAction& action : aActions) {
         if (const auto* apply = std::get_if<ApplyRows>(&action)) {
@@ -350,7 +349,7 @@
         }
         if (const auto* changes = std::get_if<ReadChanges>(&action)) {
           if (changes->m_after.m_version < forgotten) {
-            take(follower.Handle(HistoryGone{}, now));
+            take(follower.Handle(HistoryLost{}, now));
             return;
           }
           ChangesRead read{ {}, PositionAt(version) };
