--- a/packages/daemon/src/Call.cpp
+++ b/packages/daemon/src/Call.cpp
@@ -205,7 +205,7 @@
   request.m_class = m_request.m_class;
   request.m_deadline = m_deadline;
   request.m_pool = m_pool;
-  request.m_wantsPair = aAction.m_wantsPair;
+  request.m_wantsDecodeEngine = aAction.m_wantsDecodeEngine;
   request.m_excluded = aAction.m_excluded;
   if (const GenerationCall* call = Generation()) {
     request.m_prefixHash = call->m_prefixHash;
--- a/packages/daemon/src/CallRequest.cpp
+++ b/packages/daemon/src/CallRequest.cpp
@@ -200,7 +200,7 @@
     m_request.m_deadline = service->m_deadline;
     m_request.m_pool.m_key = "service/" + name;
     m_request.m_pool.m_kind = routing::UpstreamKind::Service;
-    m_request.m_pool.m_first = service->m_upstreams;
+    m_request.m_pool.m_ownSelector = service->m_upstreams;
     m_request.m_what = std::move(call);
     return Finish(service->m_repeatable);
   }
@@ -240,7 +240,7 @@
     call.m_seed = Hash64(call.m_body) >> 32U;
     const std::string last = HeaderText(m_exchange, "Last-Event-ID");
     if (!last.empty()) {
-      call.m_resume = routing::DecodePlace(last);
+      call.m_resume = routing::DecodeStreamPosition(last);
       if (!call.m_resume) {
         return tl::unexpected(
           RefuseFaults({ { "header Last-Event-ID",
@@ -253,7 +253,7 @@
     m_request.m_deadline = deployment->m_deadline;
     m_request.m_pool.m_key = "deployment/" + deployment->m_name;
     m_request.m_pool.m_kind = routing::UpstreamKind::Engine;
-    m_request.m_pool.m_first = deployment->m_engines;
+    m_request.m_pool.m_ownSelector = deployment->m_engines;
     m_request.m_pool.m_model = deployment->m_model;
     m_request.m_pool.m_version = deployment->m_version;
     m_request.m_pool.m_adapter = deployment->m_adapter;
@@ -299,7 +299,7 @@
     }
     m_request.m_route = match.m_route->m_name;
     m_request.m_event = match.m_route->m_event;
-    m_request.m_pool.m_second = match.m_route->m_upstreams;
+    m_request.m_pool.m_routeSelector = match.m_route->m_upstreams;
     m_request.m_pool.m_key += "/" + match.m_route->m_name;
     m_request.m_deadline =
       match.m_route->m_deadline.value_or(m_request.m_deadline);
--- a/packages/daemon/src/CallRequest.h
+++ b/packages/daemon/src/CallRequest.h
@@ -30,7 +30,7 @@
   std::int64_t m_maxTokens = 0;
   std::uint64_t m_prefixHash = 0; ///< Of the prompt's head.
   std::uint64_t m_seed = 0;
-  std::optional<routing::StreamPlace> m_resume;
+  std::optional<routing::StreamPosition> m_resume;
 };
 
 /** A call of a plain service, passed through. */
--- a/packages/daemon/src/CallerApi.cpp
+++ b/packages/daemon/src/CallerApi.cpp
@@ -48,7 +48,7 @@
   m_context.m_finished = [this](routing::CallId aCall) { Finished(aCall); };
   m_config.SignalApplied().connect([this] {
     m_pools.clear();
-    m_upstreams.ForgetPools();
+    m_upstreams.DiscardPools();
     PlanPump();
   });
 }
--- a/packages/daemon/src/Reply.cpp
+++ b/packages/daemon/src/Reply.cpp
@@ -131,7 +131,8 @@
            const std::string& aModel,
            const routing::ReplyToken& aToken)
 {
-  return "id: " + routing::EncodePlace(aToken.m_place) + "\ndata: " +
+  return "id: " + routing::EncodeStreamPosition(aToken.m_position) +
+         "\ndata: " +
          Dump(ChunkBody(aShape, aRequestId, aModel, aToken.m_text, nullptr)) +
          "\n\n";
 }
--- a/packages/entry/src/Entry.cpp
+++ b/packages/entry/src/Entry.cpp
@@ -471,7 +471,7 @@
 Entry::Impl::ContinueStop()
 {
   const Instant now = m_node.Now();
-  if (m_node.m_stop.ClosesResting(now)) {
+  if (m_node.m_stop.ClosesIdleConnections(now)) {
     m_relay->CloseResting();
   }
   const std::size_t open = m_relay->Running() + m_relay->Unsent();
--- a/packages/entry/src/Relay.cpp
+++ b/packages/entry/src/Relay.cpp
@@ -142,14 +142,14 @@
     return 0;
   }
   const relay::EngineTraits& engine = *service->m_engine;
-  return engine.m_movedBytesPerMs / engine.m_bytesPerToken;
+  return engine.m_transferBytesPerMs / engine.m_bytesPerToken;
 }
 
 void
 Relay::Take(const std::shared_ptr<net::HttpExchange>& aExchange)
 {
   CallHead head = m_node.m_dialect.m_readCall(aExchange->Request());
-  if (!m_node.m_stop.TakesCalls(m_node.Now())) {
+  if (!m_node.m_stop.AcceptsCalls(m_node.Now())) {
     Refuse(*aExchange, head, kUnavailable, "stopping");
     return;
   }
--- a/packages/entry/src/RelayCall.cpp
+++ b/packages/entry/src/RelayCall.cpp
@@ -78,7 +78,7 @@
       return "failed";
     case relay::AttemptEnd::Declined:
       return "declined";
-    case relay::AttemptEnd::Displaced:
+    case relay::AttemptEnd::Misdirected:
       return "displaced";
     case relay::AttemptEnd::Abandoned:
       break;
@@ -93,7 +93,7 @@
   , m_start(std::move(aStart))
   , m_flow(TraitsOf(*m_start.m_route))
   , m_began(aNode.Now())
-  , m_deadline(m_began + m_start.m_route->m_longest)
+  , m_deadline(m_began + m_start.m_route->m_maxDuration)
 {
   if (const auto& asked = m_start.m_head.m_deadline) {
     m_deadline = std::min(m_deadline, m_began + *asked);
@@ -116,7 +116,7 @@
 Duration
 RelayCall::UntilGivenUp() const
 {
-  const Duration silence = m_start.m_route->m_silence;
+  const Duration silence = m_start.m_route->m_abandonTimeout;
   const Duration spent = m_node.Now() - m_began;
   return silence == Duration::max() ? Left()
                                     : std::min(Left(), silence - spent);
@@ -191,13 +191,15 @@
   request.m_pause = m_start.m_route->m_pause;
   request.m_left = LeftToFirstToken();
   request.m_untilGivenUp = UntilGivenUp();
-  request.m_shortestAim = m_start.m_routes->ShortestAim(m_start.m_service);
+  request.m_shortestAim =
+    m_start.m_routes->ShortestFirstByteTarget(m_start.m_service);
   request.m_movedPerMs = m_start.m_movedTokensPerMs;
   if (isFirst && m_start.m_head.m_prompt &&
-      m_start.m_route->m_aim.count() > 0) {
+      m_start.m_route->m_firstByteTarget.count() > 0) {
     const Duration spent = m_node.Now() - m_began;
     request.m_admissionBound =
-      relay::AdmissionBoundOf(m_start.m_route->m_aim) - spent - m_start.m_lost;
+      relay::AdmissionBoundOf(m_start.m_route->m_firstByteTarget) - spent -
+      m_start.m_lost;
   }
   const relay::PlaceResult result =
     m_node.m_fleet.FindPlace(request, m_node.Now());
@@ -268,7 +270,7 @@
 }
 
 void
-RelayCall::Do(const relay::SendRead& aAction)
+RelayCall::Do(const relay::SendPrefill& aAction)
 {
   if (aAction.m_repeat) {
     NoteRepeat();
@@ -482,7 +484,7 @@
     if (handle.empty()) {
       Handle(relay::AnswerEnded{ id });
     } else {
-      Handle(relay::PromptRead{ id, std::move(handle) });
+      Handle(relay::PrefillCompleted{ id, std::move(handle) });
     }
   } else {
     Handle(relay::AnswerEnded{ id });
--- a/packages/entry/src/RelayCall.h
+++ b/packages/entry/src/RelayCall.h
@@ -85,7 +85,7 @@
 
   void Handle(const relay::RelayEvent& aEvent);
   void Do(const relay::FindPlace& aAction);
-  void Do(const relay::SendRead& aAction);
+  void Do(const relay::SendPrefill& aAction);
   void Do(const relay::SendRun& aAction);
   void Do(const relay::CancelAttempt& aAction);
   void Do(const relay::NoteAttemptEnd& aAction);
@@ -93,9 +93,9 @@
   void Do(const relay::ForwardHead& aAction);
   void Do(const relay::ForwardBytes& aAction);
   void Do(const relay::ForwardEnd& aAction);
-  void Do(const relay::ForwardWhole& aAction);
-  void Do(const relay::BreakOff& aAction);
-  void Do(const relay::ReplyOwn& aAction);
+  void Do(const relay::ForwardCompleteAnswer& aAction);
+  void Do(const relay::AbortConnection& aAction);
+  void Do(const relay::ReplyError& aAction);
 
   void Send(relay::AttemptId aId,
             const relay::Member& aMember,
--- a/packages/entry/src/RelayCallAnswer.cpp
+++ b/packages/entry/src/RelayCallAnswer.cpp
@@ -24,9 +24,9 @@
 constexpr std::size_t kMostUnread = std::size_t{ 512 } * 1024;
 
 OwnAnswer
-AnswerOf(const relay::ReplyOwn& aReply)
+AnswerOf(const relay::ReplyError& aReply)
 {
-  using Reason = relay::ReplyOwn::Reason;
+  using Reason = relay::ReplyError::Reason;
   switch (aReply.m_reason) {
     case Reason::NoRoom:
       return { kUnavailable, kOverloaded, "not-run", aReply.m_retryAfter };
@@ -79,7 +79,7 @@
 }
 
 void
-RelayCall::Do(const relay::ForwardWhole& aAction)
+RelayCall::Do(const relay::ForwardCompleteAnswer& aAction)
 {
   m_answeredAt = m_node.Now();
   LogEnd(kServed, m_attempt.m_head.m_status);
@@ -89,14 +89,14 @@
 }
 
 void
-RelayCall::Do(const relay::BreakOff&)
+RelayCall::Do(const relay::AbortConnection&)
 {
   LogEnd("broken-off", m_attempt.m_head.m_status);
   m_start.m_exchange->Abort();
 }
 
 void
-RelayCall::Do(const relay::ReplyOwn& aAction)
+RelayCall::Do(const relay::ReplyError& aAction)
 {
   const OwnAnswer answer = AnswerOf(aAction);
   LogEnd(answer.m_code, answer.m_status);
@@ -114,8 +114,9 @@
     return PromptOutcome::Failed;
   }
   const Duration took = *m_answeredAt - m_began + m_start.m_lost;
-  return took <= m_start.m_route->m_aim && !m_paused ? PromptOutcome::InAim
-                                                     : PromptOutcome::Late;
+  return took <= m_start.m_route->m_firstByteTarget && !m_paused
+           ? PromptOutcome::InAim
+           : PromptOutcome::Late;
 }
 
 void
--- a/packages/relay/include/ridgeferry/relay/AttemptEnd.h
+++ b/packages/relay/include/ridgeferry/relay/AttemptEnd.h
@@ -8,12 +8,12 @@
  * load). */
 enum class AttemptEnd : std::uint8_t
 {
-  Served,    ///< The upstream gave a complete answer.
-  Failed,    ///< The connection broke, the upstream answered with an error
-             ///< of its own, or it could not be reached.
-  Declined,  ///< The upstream reported that it did not run the attempt.
-  Displaced, ///< Another upstream answered at the address.
-  Abandoned, ///< This instance cancelled the attempt.
+  Served,      ///< The upstream gave a complete answer.
+  Failed,      ///< The connection broke, the upstream answered with an error
+               ///< of its own, or it could not be reached.
+  Declined,    ///< The upstream reported that it did not run the attempt.
+  Misdirected, ///< Another upstream answered at the address.
+  Abandoned,   ///< This instance cancelled the attempt.
 };
 
 } // namespace ridgeferry::relay
--- a/packages/relay/include/ridgeferry/relay/EventSplitter.h
+++ b/packages/relay/include/ridgeferry/relay/EventSplitter.h
@@ -26,7 +26,7 @@
 
 private:
   /** Stores the value of the `id` field in `m_lastId`, if the event has one. */
-  void ReadId(std::string_view aEvent);
+  void ParseId(std::string_view aEvent);
 
   std::string m_pending;
   std::string m_lastId;
--- a/packages/relay/include/ridgeferry/relay/PlannedStop.h
+++ b/packages/relay/include/ridgeferry/relay/PlannedStop.h
@@ -24,16 +24,16 @@
    * after the second failed check. A call that is accepted later could run
    * beyond the process's grace period, and would then be interrupted.
    */
-  static constexpr Duration kTakeFor{ 2800 };
+  static constexpr Duration kAcceptCallsFor{ 2800 };
   /** How long idle connections are kept open, in milliseconds. They are closed
    * shortly before calls are refused: a request that is sent while its
    * connection is being closed has not been read, so its caller may safely send
    * it again. */
-  static constexpr Duration kKeepRestingFor{ 2500 };
+  static constexpr Duration kKeepIdleConnectionsFor{ 2500 };
   /** How long the process waits at least before it exits, in milliseconds.
    * Until then the load balancer may open connections, because its view of this
    * instance is out of date. */
-  static constexpr Duration kListenFor{ 3500 };
+  static constexpr Duration kAcceptConnectionsFor{ 3500 };
   /** Time reserved at the end of the grace period for the shutdown of the
    * process itself, in milliseconds. */
   static constexpr Duration kMargin{ 600 };
@@ -44,10 +44,10 @@
 
   bool HasBegun() const { return m_began.has_value(); }
   /** Returns whether the process still accepts calls. */
-  bool TakesCalls(Instant aNow) const;
+  bool AcceptsCalls(Instant aNow) const;
   /** Returns whether connections without a request under way are to be closed.
    */
-  bool ClosesResting(Instant aNow) const;
+  bool ClosesIdleConnections(Instant aNow) const;
   /** Returns whether the process may exit. `aOpen` is the number of calls that
    * run or whose answers have not been sent completely. Once only `kMargin` of
    * the grace period is left, the process may exit whatever `aOpen` is. */
--- a/packages/relay/include/ridgeferry/relay/RelayFlow.h
+++ b/packages/relay/include/ridgeferry/relay/RelayFlow.h
@@ -63,11 +63,11 @@
 {
   AttemptId m_attempt = 0;
   /** The refusal came from another upstream that answers at the address. */
-  bool m_displaced = false;
+  bool m_misdirected = false;
 };
 /** The prefill is complete: the prefill engine holds the prompt's KV cache
  * under a handle. */
-struct PromptRead
+struct PrefillCompleted
 {
   AttemptId m_attempt = 0;
   std::string m_handle;
@@ -106,7 +106,7 @@
                                 NoPlace,
                                 AttemptUnsent,
                                 AttemptRefused,
-                                PromptRead,
+                                PrefillCompleted,
                                 HeadArrived,
                                 BytesArrived,
                                 AnswerEnded,
@@ -125,7 +125,7 @@
 };
 /** Sends the prompt to a prefill engine, which keeps the KV cache for a later
  * transfer. This does not count as a run of the call. */
-struct SendRead
+struct SendPrefill
 {
   AttemptId m_attempt = 0;
   std::string m_prefillEngine;
@@ -177,16 +177,16 @@
 {};
 /** Forwards a complete answer: the head of the current attempt's answer and
  * this body. */
-struct ForwardWhole
+struct ForwardCompleteAnswer
 {
   std::string m_body;
 };
 /** Closes the connection to the caller, so that the caller can tell that the
  * forwarded answer is incomplete. */
-struct BreakOff
+struct AbortConnection
 {};
 /** Sends a final error answer that the relay itself produces. */
-struct ReplyOwn
+struct ReplyError
 {
   enum class Reason : std::uint8_t
   {
@@ -206,7 +206,7 @@
 };
 
 using RelayAction = std::variant<FindPlace,
-                                 SendRead,
+                                 SendPrefill,
                                  SendRun,
                                  CancelAttempt,
                                  NoteAttemptEnd,
@@ -214,9 +214,9 @@
                                  ForwardHead,
                                  ForwardBytes,
                                  ForwardEnd,
-                                 ForwardWhole,
-                                 BreakOff,
-                                 ReplyOwn>;
+                                 ForwardCompleteAnswer,
+                                 AbortConnection,
+                                 ReplyError>;
 
 /**
  * State machine of one call from its start to its final answer. The answer of
@@ -247,7 +247,7 @@
   /** A body up to this size is buffered completely before any of it is
    * forwarded, so that a call whose answer breaks can still be retried. Most
    * answers are a few kilobytes. */
-  static constexpr std::size_t kGatherBytes = std::size_t{ 256 } * 1024;
+  static constexpr std::size_t kMaxBufferedBytes = std::size_t{ 256 } * 1024;
   /** Retry delay, in milliseconds, that the caller is given when the refusal
    * names no delay of its own. */
   static constexpr Duration kRetryAfter{ 100 };
@@ -278,23 +278,23 @@
   {
     New,
     Placing,
-    Reading, ///< A prefill engine is prefilling the prompt.
+    Prefilling, ///< A prefill engine is prefilling the prompt.
     Running,
     Done,
   };
   /** How the current attempt's answer is handled. */
-  enum class Fate : std::uint8_t
+  enum class AnswerHandling : std::uint8_t
   {
     Unknown, ///< The head of the answer has not arrived.
     Stream,  ///< The answer is forwarded event by event.
-    Gather,  ///< The answer is buffered until it is complete.
+    Buffer,  ///< The answer is buffered until it is complete.
     /** The answer is too large to buffer and is forwarded as it arrives. */
-    Pass,
+    PassThrough,
     Repeat, ///< The answer is a failure, and the call is retried elsewhere.
     /** The answer is dropped, because its status would tell the caller that the
      * call has not run, or because it cannot continue a stream that was
      * forwarded in part. */
-    Conceal,
+    Discard,
   };
 
   void On(const CallBegan& aEvent, Actions& aActions);
@@ -302,7 +302,7 @@
   void On(const NoPlace& aEvent, Actions& aActions);
   void On(const AttemptUnsent& aEvent, Actions& aActions);
   void On(const AttemptRefused& aEvent, Actions& aActions);
-  void On(const PromptRead& aEvent, Actions& aActions);
+  void On(const PrefillCompleted& aEvent, Actions& aActions);
   void On(const HeadArrived& aEvent, Actions& aActions);
   void On(const BytesArrived& aEvent, Actions& aActions);
   void On(const AnswerEnded& aEvent, Actions& aActions);
@@ -316,44 +316,44 @@
   bool MayRunAgain() const;
   /** Whether the kind of call allows a second run. */
   bool IsIdempotent() const;
-  Fate FateOf(int aStatus) const;
+  AnswerHandling HandlingOf(int aStatus) const;
   void StartRun(Actions& aActions);
   /** Sends the call to `m_upstream` without a prefill engine, so that
    * `m_upstream` prefills the prompt itself. */
-  void ReadWhereItRuns(Actions& aActions);
+  void RunWithoutPrefillEngine(Actions& aActions);
   /** Whether the call may be sent to the upstream whose stream broke, to find
    * out whether that upstream has crashed. */
-  bool MayAskWhetherEnded() const;
-  void FindAgain(Actions& aActions);
+  bool MayProbeSameUpstream() const;
+  void FindAnotherPlace(Actions& aActions);
   /** Reports the end of the current attempt. Excludes its upstream from further
    * placement unless the attempt was served or cancelled. */
-  void Leave(AttemptEnd aEnd, Actions& aActions);
+  void FinishAttempt(AttemptEnd aEnd, Actions& aActions);
   /** Finishes the call without an answer of an upstream. */
   void GiveUp(Duration aRetryAfter, Actions& aActions);
   void Finish(Actions& aActions, RelayAction aFinal);
 
   RelayTraits m_traits;
   Step m_step = Step::New;
-  Fate m_fate = Fate::Unknown;
+  AnswerHandling m_handling = AnswerHandling::Unknown;
   bool m_repeatAllowed = true;
   bool m_forwarded = false; ///< The head of an answer was forwarded.
   AttemptId m_attempt = 0;
   /** Sends that an upstream can have received: runs, and prefills that were
    * declined. Each send after the first counts against the retry budget. */
   int m_sends = 0;
-  int m_reads = 0; ///< Prefills sent to prefill engines.
+  int m_prefillSends = 0; ///< Prefills sent to prefill engines.
   int m_tries = 0; ///< Runs sent, whether or not an upstream received them.
   int m_runs = 0;  ///< See `Runs`.
   /** The upstream whose stream broke was asked to resume it. If that upstream
    * cannot be reached, it has crashed: its run no longer counts, and another
    * upstream may resume the stream. */
-  bool m_askingWhetherEnded = false;
+  bool m_probingSameUpstream = false;
   std::string m_upstream;
   std::string m_prefillEngine;
   std::string m_handle;
   std::vector<std::string> m_excluded;
   EventSplitter m_events;
-  std::string m_gathered;
+  std::string m_bufferedBody;
 };
 
 } // namespace ridgeferry::relay
--- a/packages/relay/include/ridgeferry/relay/Routes.h
+++ b/packages/relay/include/ridgeferry/relay/Routes.h
@@ -42,17 +42,17 @@
   int m_maxRuns = 1;  ///< Maximum number of runs of one call.
   int m_priority = 0; ///< 0 is the most urgent.
   /** Longest time between the arrival of a call and its final answer. */
-  Duration m_longest{};
+  Duration m_maxDuration{};
   /** Target for the time between the arrival of a call and the first byte of
    * its answer; 0 if the route has no target. */
-  Duration m_aim{};
+  Duration m_firstByteTarget{};
   /** Target for the time between two events of a stream; 0 if the route has no
    * target. */
   Duration m_pause{};
   /** Callers abandon a stream that has brought no event for this time. The time
    * counts from the arrival of the call, so it also limits the wait for the
    * first event. `Duration::max()` means that callers do not do so. */
-  Duration m_silence = Duration::max();
+  Duration m_abandonTimeout = Duration::max();
 };
 
 /** Capacity and transfer rate of the engines of a service. */
@@ -64,10 +64,10 @@
   double m_bytesPerToken = 0; ///< KV cache bytes for each token.
   /** Rate of a KV transfer between two engines, in bytes a millisecond; 0 if
    * none is declared. */
-  double m_movedBytesPerMs = 0;
+  double m_transferBytesPerMs = 0;
   /** How long a prefill engine holds the KV cache of a prompt for another
    * engine. */
-  Duration m_handleLife{};
+  Duration m_handleLifetime{};
 };
 
 struct Service
@@ -116,7 +116,7 @@
   const Service* FindService(std::string_view aName) const;
   /** Returns the shortest target for the first byte among the streaming routes
    * of a service; 0 if none of them has a target. */
-  Duration ShortestAim(std::string_view aService) const;
+  Duration ShortestFirstByteTarget(std::string_view aService) const;
   /** Returns the service for one call, chosen in proportion to the weights.
    * `aDraw` is a random number in [0, 1). */
   static const std::string& Draw(const Route& aRoute, double aDraw);
@@ -125,14 +125,14 @@
   const RouteConfig& Config() const { return m_config; }
 
 private:
-  void NoteAim(const Route& aRoute);
+  void NoteFirstByteTarget(const Route& aRoute);
 
   RouteConfig m_config;
   /** The key is the host followed by the path prefix. */
-  std::unordered_map<std::string, const Route*> m_byPlace;
+  std::unordered_map<std::string, const Route*> m_byHostAndPrefix;
   std::map<std::string, const Service*, std::less<>> m_byService;
   /** The key is the name of the service. */
-  std::map<std::string, Duration, std::less<>> m_shortestAims;
+  std::map<std::string, Duration, std::less<>> m_shortestTargets;
 };
 
 } // namespace ridgeferry::relay
--- a/packages/relay/src/EventSplitter.cpp
+++ b/packages/relay/src/EventSplitter.cpp
@@ -28,7 +28,7 @@
 } // namespace
 
 void
-EventSplitter::ReadId(std::string_view aEvent)
+EventSplitter::ParseId(std::string_view aEvent)
 {
   constexpr std::string_view kId = "id:";
   std::size_t start = 0;
@@ -62,7 +62,7 @@
     if (length == 0) {
       break;
     }
-    ReadId(rest.substr(0, length));
+    ParseId(rest.substr(0, length));
     whole += length;
   }
   std::string out = m_pending.substr(0, whole);
--- a/packages/relay/src/Fleet.cpp
+++ b/packages/relay/src/Fleet.cpp
@@ -452,7 +452,7 @@
     // No call to the member is unanswered any more.
     state.m_unansweredSince.reset();
   }
-  const bool isEjected = silent && aEnd != AttemptEnd::Displaced;
+  const bool isEjected = silent && aEnd != AttemptEnd::Misdirected;
   if (isEjected) {
     Eject(state, aNow);
   }
@@ -467,7 +467,7 @@
   if (aEnd == AttemptEnd::Abandoned) {
     return isEjected;
   }
-  if (aEnd == AttemptEnd::Displaced) {
+  if (aEnd == AttemptEnd::Misdirected) {
     state.m_ejectedUntil = aNow + kMisdirectedEjectionTime;
     return true;
   }
--- a/packages/relay/src/PlannedStop.cpp
+++ b/packages/relay/src/PlannedStop.cpp
@@ -12,21 +12,21 @@
 }
 
 bool
-PlannedStop::TakesCalls(Instant aNow) const
+PlannedStop::AcceptsCalls(Instant aNow) const
 {
-  return !m_began || Since(aNow) < kTakeFor;
+  return !m_began || Since(aNow) < kAcceptCallsFor;
 }
 
 bool
-PlannedStop::ClosesResting(Instant aNow) const
+PlannedStop::ClosesIdleConnections(Instant aNow) const
 {
-  return m_began && Since(aNow) >= kKeepRestingFor;
+  return m_began && Since(aNow) >= kKeepIdleConnectionsFor;
 }
 
 bool
 PlannedStop::MayEnd(std::size_t aOpen, Instant aNow) const
 {
-  if (!m_began || Since(aNow) < kListenFor) {
+  if (!m_began || Since(aNow) < kAcceptConnectionsFor) {
     return false;
   }
   return aOpen == 0 || Since(aNow) >= m_grace - kMargin;
--- a/packages/relay/src/RelayFlow.cpp
+++ b/packages/relay/src/RelayFlow.cpp
@@ -43,7 +43,7 @@
 RelayFlow::IsCurrent(AttemptId aAttempt) const
 {
   return aAttempt == m_attempt &&
-         (m_step == Step::Reading || m_step == Step::Running);
+         (m_step == Step::Prefilling || m_step == Step::Running);
 }
 
 bool
@@ -61,32 +61,32 @@
 }
 
 bool
-RelayFlow::MayAskWhetherEnded() const
+RelayFlow::MayProbeSameUpstream() const
 {
   return m_traits.m_stream && IsIdempotent() && m_repeatAllowed &&
-         !m_askingWhetherEnded && m_tries < kMaxSends;
+         !m_probingSameUpstream && m_tries < kMaxSends;
 }
 
-RelayFlow::Fate
-RelayFlow::FateOf(int aStatus) const
+RelayFlow::AnswerHandling
+RelayFlow::HandlingOf(int aStatus) const
 {
   // `m_runs` does not include the current run until its answer is complete, so
   // the current run is added here.
   if (aStatus >= kFirstServerError && !m_forwarded && IsIdempotent() &&
       m_repeatAllowed && m_runs + 1 < m_traits.m_maxRuns &&
       m_tries < kMaxSends) {
-    return Fate::Repeat;
+    return AnswerHandling::Repeat;
   }
   if (PromisesNotRun(aStatus)) {
-    return Fate::Conceal;
+    return AnswerHandling::Discard;
   }
   const bool success = aStatus >= kFirstSuccess && aStatus < kFirstRedirect;
   if (m_traits.m_stream && success) {
-    return Fate::Stream;
+    return AnswerHandling::Stream;
   }
   // A failure cannot continue a stream of which the caller already has a part
   // from an earlier run.
-  return m_forwarded ? Fate::Conceal : Fate::Gather;
+  return m_forwarded ? AnswerHandling::Discard : AnswerHandling::Buffer;
 }
 
 void
@@ -109,18 +109,18 @@
     StartRun(aActions);
     return;
   }
-  m_step = Step::Reading;
-  const bool repeat = m_reads > 0;
-  ++m_reads;
-  aActions.emplace_back(SendRead{ ++m_attempt, m_prefillEngine, repeat });
+  m_step = Step::Prefilling;
+  const bool repeat = m_prefillSends > 0;
+  ++m_prefillSends;
+  aActions.emplace_back(SendPrefill{ ++m_attempt, m_prefillEngine, repeat });
 }
 
 void
 RelayFlow::StartRun(Actions& aActions)
 {
   m_step = Step::Running;
-  m_fate = Fate::Unknown;
-  m_gathered.clear();
+  m_handling = AnswerHandling::Unknown;
+  m_bufferedBody.clear();
   ++m_tries;
   const bool repeat = m_sends > 0;
   ++m_sends;
@@ -133,7 +133,7 @@
 }
 
 void
-RelayFlow::ReadWhereItRuns(Actions& aActions)
+RelayFlow::RunWithoutPrefillEngine(Actions& aActions)
 {
   m_prefillEngine.clear();
   StartRun(aActions);
@@ -147,29 +147,29 @@
   }
   const bool untouched = !m_forwarded && m_runs == 0;
   if (untouched && aEvent.m_cause == NoPlace::Cause::TooLarge) {
-    Finish(aActions, ReplyOwn{ ReplyOwn::Reason::TooLarge, {} });
+    Finish(aActions, ReplyError{ ReplyError::Reason::TooLarge, {} });
   } else if (untouched && aEvent.m_cause == NoPlace::Cause::Quarantined) {
     Finish(aActions,
-           ReplyOwn{ ReplyOwn::Reason::Quarantined, aEvent.m_retryAfter });
+           ReplyError{ ReplyError::Reason::Quarantined, aEvent.m_retryAfter });
   } else {
     GiveUp(aEvent.m_retryAfter, aActions);
   }
 }
 
 void
-RelayFlow::FindAgain(Actions& aActions)
+RelayFlow::FindAnotherPlace(Actions& aActions)
 {
   m_step = Step::Placing;
   aActions.emplace_back(FindPlace{ m_excluded });
 }
 
 void
-RelayFlow::Leave(AttemptEnd aEnd, Actions& aActions)
+RelayFlow::FinishAttempt(AttemptEnd aEnd, Actions& aActions)
 {
   aActions.emplace_back(NoteAttemptEnd{ m_attempt, aEnd });
   if (aEnd != AttemptEnd::Served && aEnd != AttemptEnd::Abandoned) {
-    m_excluded.push_back(m_step == Step::Reading ? m_prefillEngine
-                                                 : m_upstream);
+    m_excluded.push_back(m_step == Step::Prefilling ? m_prefillEngine
+                                                    : m_upstream);
   }
 }
 
@@ -179,20 +179,20 @@
   if (!IsCurrent(aEvent.m_attempt)) {
     return;
   }
-  Leave(AttemptEnd::Failed, aActions);
-  if (m_step == Step::Reading) {
-    ReadWhereItRuns(aActions);
+  FinishAttempt(AttemptEnd::Failed, aActions);
+  if (m_step == Step::Prefilling) {
+    RunWithoutPrefillEngine(aActions);
     return;
   }
   // The upstream received nothing, so `m_sends` must not include this send. If
   // this send asked an upstream to resume its broken stream, that upstream has
   // crashed, and its earlier run no longer counts.
   --m_sends;
-  if (std::exchange(m_askingWhetherEnded, false)) {
+  if (std::exchange(m_probingSameUpstream, false)) {
     --m_runs;
   }
   if (m_tries < kMaxSends) {
-    FindAgain(aActions);
+    FindAnotherPlace(aActions);
   } else {
     GiveUp(kRetryAfter, aActions);
   }
@@ -204,14 +204,15 @@
   if (!IsCurrent(aEvent.m_attempt)) {
     return;
   }
-  Leave(aEvent.m_displaced ? AttemptEnd::Displaced : AttemptEnd::Declined,
-        aActions);
-  if (m_step == Step::Reading) {
+  FinishAttempt(aEvent.m_misdirected ? AttemptEnd::Misdirected
+                                     : AttemptEnd::Declined,
+                aActions);
+  if (m_step == Step::Prefilling) {
     // A declined prefill counts as a send, so that the next send counts against
     // the retry budget.
     ++m_sends;
   }
-  if (m_askingWhetherEnded) {
+  if (m_probingSameUpstream) {
     // The upstream answered, so it has not crashed: its earlier run still
     // counts against `m_maxRuns`, and no other upstream may resume the stream.
     GiveUp(kRetryAfter, aActions);
@@ -219,16 +220,16 @@
   }
   m_prefillEngine.clear();
   if (m_repeatAllowed && m_tries < kMaxSends) {
-    FindAgain(aActions);
+    FindAnotherPlace(aActions);
   } else {
     GiveUp(kRetryAfter, aActions);
   }
 }
 
 void
-RelayFlow::On(const PromptRead& aEvent, Actions& aActions)
+RelayFlow::On(const PrefillCompleted& aEvent, Actions& aActions)
 {
-  if (!IsCurrent(aEvent.m_attempt) || m_step != Step::Reading) {
+  if (!IsCurrent(aEvent.m_attempt) || m_step != Step::Prefilling) {
     return;
   }
   aActions.emplace_back(NoteAttemptEnd{ m_attempt, AttemptEnd::Served });
@@ -242,8 +243,8 @@
   if (!IsCurrent(aEvent.m_attempt) || m_step != Step::Running) {
     return;
   }
-  m_fate = FateOf(aEvent.m_status);
-  if (m_fate == Fate::Stream && !m_forwarded) {
+  m_handling = HandlingOf(aEvent.m_status);
+  if (m_handling == AnswerHandling::Stream && !m_forwarded) {
     m_forwarded = true;
     aActions.emplace_back(ForwardHead{});
   }
@@ -255,19 +256,19 @@
   if (!IsCurrent(aEvent.m_attempt) || m_step != Step::Running) {
     return;
   }
-  if (m_fate == Fate::Stream) {
+  if (m_handling == AnswerHandling::Stream) {
     if (std::string whole = m_events.Add(aEvent.m_bytes); !whole.empty()) {
       aActions.emplace_back(ForwardBytes{ std::move(whole) });
     }
-  } else if (m_fate == Fate::Pass) {
+  } else if (m_handling == AnswerHandling::PassThrough) {
     aActions.emplace_back(ForwardBytes{ aEvent.m_bytes });
-  } else if (m_fate == Fate::Gather) {
-    m_gathered += aEvent.m_bytes;
-    if (m_gathered.size() > kGatherBytes) {
-      m_fate = Fate::Pass;
+  } else if (m_handling == AnswerHandling::Buffer) {
+    m_bufferedBody += aEvent.m_bytes;
+    if (m_bufferedBody.size() > kMaxBufferedBytes) {
+      m_handling = AnswerHandling::PassThrough;
       m_forwarded = true;
       aActions.emplace_back(ForwardHead{});
-      aActions.emplace_back(ForwardBytes{ std::move(m_gathered) });
+      aActions.emplace_back(ForwardBytes{ std::move(m_bufferedBody) });
     }
   }
 }
@@ -278,35 +279,36 @@
   if (!IsCurrent(aEvent.m_attempt)) {
     return;
   }
-  if (m_step == Step::Reading) {
+  if (m_step == Step::Prefilling) {
     // The answer of the prefill engine has no handle, so its KV cache cannot be
     // used.
-    Leave(AttemptEnd::Failed, aActions);
-    ReadWhereItRuns(aActions);
+    FinishAttempt(AttemptEnd::Failed, aActions);
+    RunWithoutPrefillEngine(aActions);
     return;
   }
   ++m_runs;
-  const bool failed = m_fate == Fate::Repeat || m_fate == Fate::Conceal;
-  Leave(failed ? AttemptEnd::Failed : AttemptEnd::Served, aActions);
-  switch (m_fate) {
-    case Fate::Repeat:
-      FindAgain(aActions);
+  const bool failed = m_handling == AnswerHandling::Repeat ||
+                      m_handling == AnswerHandling::Discard;
+  FinishAttempt(failed ? AttemptEnd::Failed : AttemptEnd::Served, aActions);
+  switch (m_handling) {
+    case AnswerHandling::Repeat:
+      FindAnotherPlace(aActions);
       return;
-    case Fate::Unknown:
-    case Fate::Conceal:
+    case AnswerHandling::Unknown:
+    case AnswerHandling::Discard:
       GiveUp(kRetryAfter, aActions);
       return;
-    case Fate::Stream:
+    case AnswerHandling::Stream:
       if (std::string rest = m_events.TakeRest(); !rest.empty()) {
         aActions.emplace_back(ForwardBytes{ std::move(rest) });
       }
       Finish(aActions, ForwardEnd{});
       return;
-    case Fate::Pass:
+    case AnswerHandling::PassThrough:
       Finish(aActions, ForwardEnd{});
       return;
-    case Fate::Gather:
-      Finish(aActions, ForwardWhole{ std::move(m_gathered) });
+    case AnswerHandling::Buffer:
+      Finish(aActions, ForwardCompleteAnswer{ std::move(m_bufferedBody) });
       return;
   }
 }
@@ -317,22 +319,22 @@
   if (!IsCurrent(aEvent.m_attempt)) {
     return;
   }
-  Leave(AttemptEnd::Failed, aActions);
-  if (m_step == Step::Reading) {
-    ReadWhereItRuns(aActions);
+  FinishAttempt(AttemptEnd::Failed, aActions);
+  if (m_step == Step::Prefilling) {
+    RunWithoutPrefillEngine(aActions);
     return;
   }
   ++m_runs;
   m_events.TakeRest();
-  const bool mayGoOn = !m_forwarded || m_fate == Fate::Stream;
+  const bool mayGoOn = !m_forwarded || m_handling == AnswerHandling::Stream;
   if (mayGoOn && MayRunAgain()) {
-    FindAgain(aActions);
+    FindAnotherPlace(aActions);
     return;
   }
-  if (mayGoOn && MayAskWhetherEnded()) {
-    m_askingWhetherEnded = true;
+  if (mayGoOn && MayProbeSameUpstream()) {
+    m_probingSameUpstream = true;
     m_handle.clear();
-    ReadWhereItRuns(aActions);
+    RunWithoutPrefillEngine(aActions);
     return;
   }
   GiveUp(kRetryAfter, aActions);
@@ -342,29 +344,30 @@
 RelayFlow::On(const DeadlinePassed&, Actions& aActions)
 {
   const bool running = m_step == Step::Running;
-  if (running || m_step == Step::Reading) {
+  if (running || m_step == Step::Prefilling) {
     aActions.emplace_back(CancelAttempt{ m_attempt });
-    Leave(AttemptEnd::Abandoned, aActions);
+    FinishAttempt(AttemptEnd::Abandoned, aActions);
   }
   if (m_forwarded) {
-    Finish(aActions, BreakOff{});
+    Finish(aActions, AbortConnection{});
   } else if (running || m_runs > 0) {
-    Finish(aActions, ReplyOwn{ ReplyOwn::Reason::TooLate, {} });
+    Finish(aActions, ReplyError{ ReplyError::Reason::TooLate, {} });
   } else {
-    Finish(aActions, ReplyOwn{ ReplyOwn::Reason::NoRoom, kRetryAfter });
+    Finish(aActions, ReplyError{ ReplyError::Reason::NoRoom, kRetryAfter });
   }
 }
 
 void
 RelayFlow::On(const CallerLeft&, Actions& aActions)
 {
-  if (m_step == Step::Running || m_step == Step::Reading) {
+  if (m_step == Step::Running || m_step == Step::Prefilling) {
     aActions.emplace_back(CancelAttempt{ m_attempt });
-    Leave(AttemptEnd::Abandoned, aActions);
+    FinishAttempt(AttemptEnd::Abandoned, aActions);
   }
   // Without an answer, the upstream may not have taken the KV cache over from
   // the prefill engine, which would then hold it until the handle expires.
-  const bool untaken = m_step == Step::Running && m_fate == Fate::Unknown;
+  const bool untaken =
+    m_step == Step::Running && m_handling == AnswerHandling::Unknown;
   if (untaken && !m_handle.empty()) {
     aActions.emplace_back(FreeHandle{ m_prefillEngine, m_handle });
   }
@@ -375,11 +378,11 @@
 RelayFlow::GiveUp(Duration aRetryAfter, Actions& aActions)
 {
   if (m_forwarded) {
-    Finish(aActions, BreakOff{});
+    Finish(aActions, AbortConnection{});
   } else if (m_runs > 0) {
-    Finish(aActions, ReplyOwn{ ReplyOwn::Reason::NoAnswer, {} });
+    Finish(aActions, ReplyError{ ReplyError::Reason::NoAnswer, {} });
   } else {
-    Finish(aActions, ReplyOwn{ ReplyOwn::Reason::NoRoom, aRetryAfter });
+    Finish(aActions, ReplyError{ ReplyError::Reason::NoRoom, aRetryAfter });
   }
 }
 
--- a/packages/relay/src/Routes.cpp
+++ b/packages/relay/src/Routes.cpp
@@ -23,10 +23,10 @@
   : m_config(std::move(aConfig))
 {
   for (const Route& route : m_config.m_routes) {
-    m_byPlace[LowerHost(route.m_host) + route.m_pathPrefix] = &route;
+    m_byHostAndPrefix[LowerHost(route.m_host) + route.m_pathPrefix] = &route;
   }
   for (const Route& route : m_config.m_routes) {
-    NoteAim(route);
+    NoteFirstByteTarget(route);
   }
   for (const Service& service : m_config.m_services) {
     m_byService[service.m_name] = &service;
@@ -40,8 +40,8 @@
   std::size_t end = aPath.rfind('/');
   while (end != std::string_view::npos) {
     const auto found =
-      m_byPlace.find(host + std::string(aPath.substr(0, end + 1)));
-    if (found != m_byPlace.end()) {
+      m_byHostAndPrefix.find(host + std::string(aPath.substr(0, end + 1)));
+    if (found != m_byHostAndPrefix.end()) {
       return found->second;
     }
     if (end == 0) {
@@ -53,23 +53,24 @@
 }
 
 void
-RouteTable::NoteAim(const Route& aRoute)
+RouteTable::NoteFirstByteTarget(const Route& aRoute)
 {
-  if (!aRoute.m_stream || aRoute.m_aim.count() == 0) {
+  if (!aRoute.m_stream || aRoute.m_firstByteTarget.count() == 0) {
     return;
   }
   for (const ServiceShare& share : aRoute.m_services) {
     const auto known =
-      m_shortestAims.try_emplace(share.m_service, aRoute.m_aim).first;
-    known->second = std::min(known->second, aRoute.m_aim);
+      m_shortestTargets.try_emplace(share.m_service, aRoute.m_firstByteTarget)
+        .first;
+    known->second = std::min(known->second, aRoute.m_firstByteTarget);
   }
 }
 
 Duration
-RouteTable::ShortestAim(std::string_view aService) const
+RouteTable::ShortestFirstByteTarget(std::string_view aService) const
 {
-  const auto found = m_shortestAims.find(aService);
-  return found == m_shortestAims.end() ? Duration{} : found->second;
+  const auto found = m_shortestTargets.find(aService);
+  return found == m_shortestTargets.end() ? Duration{} : found->second;
 }
 
 const Service*
--- a/packages/relay/tests/ConnectionShareTest.cpp
+++ b/packages/relay/tests/ConnectionShareTest.cpp
@@ -18,7 +18,7 @@
 class ConnectionShareTest : public ::testing::TestWithParam<ShareCase>
 {};
 
-TEST_P(ConnectionShareTest, StaysUnderWhatTheUpstreamTakes)
+TEST_P(ConnectionShareTest, StaysBelowTheLimitOfTheUpstream)
 {
   const ShareCase& row = GetParam();
   const ConnectionShare share = ShareConnections(row.m_most, row.m_instances);
--- a/packages/relay/tests/FleetTest.cpp
+++ b/packages/relay/tests/FleetTest.cpp
@@ -40,7 +40,7 @@
 TEST_F(FleetTest, AMemberAtWhoseAddressAnotherAnswersIsEjectedAtOnce)
 {
   m_fleet.NoteSent("a", 0, kNow);
-  m_fleet.NoteEnded("a", 0, AttemptEnd::Displaced, Duration{ 5 }, kNow);
+  m_fleet.NoteEnded("a", 0, AttemptEnd::Misdirected, Duration{ 5 }, kNow);
   for (std::uint64_t draw = 0; draw < 10; ++draw) {
     PlaceRequest request = PlainRequest();
     request.m_random = draw;
--- a/packages/relay/tests/PlannedStopTest.cpp
+++ b/packages/relay/tests/PlannedStopTest.cpp
@@ -13,23 +13,23 @@
   const char* m_name;
   int m_afterMs;
   std::size_t m_running;
-  bool m_takes;
-  bool m_closesResting;
+  bool m_acceptsCalls;
+  bool m_closesIdleConnections;
   bool m_mayEnd;
 };
 
 class PlannedStopTest : public ::testing::TestWithParam<StopCase>
 {};
 
-TEST_P(PlannedStopTest, KeepsItsOrder)
+TEST_P(PlannedStopTest, TakesEachStepAtItsTime)
 {
   const StopCase& given = GetParam();
   PlannedStop stop;
   const Instant start{ Duration{ 1000 } };
   stop.Begin(kGrace, start);
   const Instant now = start + Duration{ given.m_afterMs };
-  EXPECT_EQ(stop.TakesCalls(now), given.m_takes);
-  EXPECT_EQ(stop.ClosesResting(now), given.m_closesResting);
+  EXPECT_EQ(stop.AcceptsCalls(now), given.m_acceptsCalls);
+  EXPECT_EQ(stop.ClosesIdleConnections(now), given.m_closesIdleConnections);
   EXPECT_EQ(stop.MayEnd(given.m_running, now), given.m_mayEnd);
 }
 
@@ -54,12 +54,12 @@
 {
   PlannedStop stop;
   const Instant start{ Duration{ 1000 } };
-  EXPECT_TRUE(stop.TakesCalls(start));
-  EXPECT_FALSE(stop.ClosesResting(start));
+  EXPECT_TRUE(stop.AcceptsCalls(start));
+  EXPECT_FALSE(stop.ClosesIdleConnections(start));
   EXPECT_FALSE(stop.MayEnd(0, start));
   stop.Begin(kGrace, start);
   stop.Begin(kGrace, start + Duration{ 3000 });
-  EXPECT_FALSE(stop.TakesCalls(start + Duration{ 3100 }));
+  EXPECT_FALSE(stop.AcceptsCalls(start + Duration{ 3100 }));
 }
 
 } // namespace
--- a/packages/relay/tests/RelayFlowTest.cpp
+++ b/packages/relay/tests/RelayFlowTest.cpp
@@ -9,12 +9,12 @@
  * fit in one string. `!` marks a send that counts against the retry budget, `+`
  * a KV cache handle, and `>` the event after which a stream resumes. */
 std::string
-Word(const RelayAction& aAction)
+ActionText(const RelayAction& aAction)
 {
   return std::visit(
     Overloaded{
       [](const FindPlace&) { return std::string("find"); },
-      [](const SendRead& aSend) {
+      [](const SendPrefill& aSend) {
         return "read@" + aSend.m_prefillEngine + (aSend.m_repeat ? "!" : "");
       },
       [](const SendRun& aSend) {
@@ -36,9 +36,11 @@
         return "bytes" + std::to_string(aBytes.m_bytes.size());
       },
       [](const ForwardEnd&) { return std::string("end"); },
-      [](const ForwardWhole& aWhole) { return "whole:" + aWhole.m_body; },
-      [](const BreakOff&) { return std::string("break"); },
-      [](const ReplyOwn& aReply) {
+      [](const ForwardCompleteAnswer& aWhole) {
+        return "whole:" + aWhole.m_body;
+      },
+      [](const AbortConnection&) { return std::string("break"); },
+      [](const ReplyError& aReply) {
         static constexpr const char* kReasons[] = {
           "no-room", "too-large", "quarantined", "no-answer", "too-late"
         };
@@ -60,28 +62,28 @@
   RelayTraits m_traits;
   std::vector<RelayEvent> m_events; ///< Events that follow `CallBegan`.
   /** All actions, including those for `CallBegan`. */
-  const char* m_story;
+  const char* m_expectedActions;
   bool m_repeatAllowed = true;
 };
 
 class RelayFlowTest : public ::testing::TestWithParam<FlowCase>
 {};
 
-TEST_P(RelayFlowTest, TellsItsStory)
+TEST_P(RelayFlowTest, EmitsTheExpectedActions)
 {
   RelayFlow flow(GetParam().m_traits);
   flow.SetRepeatAllowed(GetParam().m_repeatAllowed);
   std::string story;
   const auto take = [&](const RelayEvent& aEvent) {
     for (const RelayAction& action : flow.Handle(aEvent)) {
-      story += (story.empty() ? "" : " ") + Word(action);
+      story += (story.empty() ? "" : " ") + ActionText(action);
     }
   };
   take(CallBegan{});
   for (const RelayEvent& event : GetParam().m_events) {
     take(event);
   }
-  EXPECT_EQ(story, GetParam().m_story);
+  EXPECT_EQ(story, GetParam().m_expectedActions);
 }
 
 const std::string kEvent1 =
@@ -139,10 +141,10 @@
     FlowCase{ "ASecondReadingCountsToo",
               kUnsafe,
               { PlaceFound{ "u", "r" },
-                PromptRead{ 1, "h1" },
+                PrefillCompleted{ 1, "h1" },
                 AttemptRefused{ 2 },
                 PlaceFound{ "v", "s" },
-                PromptRead{ 3, "h2" },
+                PrefillCompleted{ 3, "h2" },
                 HeadArrived{ 4, 200 },
                 AnswerEnded{ 4 } },
               "find read@r served run@u+h1 declined find read@s! served "
@@ -303,13 +305,13 @@
   [](const auto& aInfo) { return std::string(aInfo.param.m_name); });
 
 INSTANTIATE_TEST_SUITE_P(
-  HandedOver,
+  DisaggregatedPrefill,
   RelayFlowTest,
   ::testing::Values(
     FlowCase{ "ReadThenRun",
               kStream,
               { PlaceFound{ "u", "r" },
-                PromptRead{ 1, "h" },
+                PrefillCompleted{ 1, "h" },
                 HeadArrived{ 2, 200 },
                 BytesArrived{ 2, kEvent1 },
                 AnswerEnded{ 2 } },
@@ -334,14 +336,15 @@
     FlowCase{ "TheHandleIsGone",
               kStream,
               { PlaceFound{ "u", "r" },
-                PromptRead{ 1, "h" },
+                PrefillCompleted{ 1, "h" },
                 AttemptRefused{ 2 },
                 PlaceFound{ "v", "" } },
               "find read@r served run@u+h declined find run@v!" },
-    FlowCase{ "TheCallerLeavesBeforeItIsTaken",
-              kStream,
-              { PlaceFound{ "u", "r" }, PromptRead{ 1, "h" }, CallerLeft{} },
-              "find read@r served run@u+h cancel abandoned free+h" },
+    FlowCase{
+      "TheCallerLeavesBeforeItIsTaken",
+      kStream,
+      { PlaceFound{ "u", "r" }, PrefillCompleted{ 1, "h" }, CallerLeft{} },
+      "find read@r served run@u+h cancel abandoned free+h" },
     FlowCase{ "TheCallerLeavesWhileItIsRead",
               kStream,
               { PlaceFound{ "u", "r" }, CallerLeft{} },
--- a/packages/relay/tests/RelayWorldTest.cpp
+++ b/packages/relay/tests/RelayWorldTest.cpp
@@ -25,17 +25,17 @@
 /** Asserts a condition that contains `||`. RC_ASSERT decomposes its expression,
  * which does not work with `||`. */
 void
-Must(bool aHolds)
+AssertHolds(bool aHolds)
 {
   RC_ASSERT(aHolds);
 }
 
 /** Drives one call with random events and records which upstreams really ran
  * it, so that the answers of `RelayFlow` can be checked against that record. */
-class World
+class RelaySimulation
 {
 public:
-  explicit World(RelayTraits aTraits)
+  explicit RelaySimulation(RelayTraits aTraits)
     : m_traits(aTraits)
     , m_flow(aTraits)
   {
@@ -57,8 +57,8 @@
       m_left = true;
     } else if (what == 1) {
       Take(DeadlinePassed{});
-    } else if (m_finding) {
-      m_finding = false;
+    } else if (m_wantsPlace) {
+      m_wantsPlace = false;
       StepPlace();
     } else if (m_attempt != 0) {
       StepAttempt(*rc::gen::inRange(2, 12));
@@ -78,7 +78,7 @@
                               : m_traits.m_repeat == Repeat::Freely;
     if (!idempotent) {
       RC_ASSERT(m_runs <= 1);
-      Must(!m_saidNotRun || m_runs == 0);
+      AssertHolds(!m_saidNotRun || m_runs == 0);
     }
     RC_ASSERT(m_ranAt.size() <= static_cast<std::size_t>(m_traits.m_maxRuns));
     // The caller must receive complete events in order, each exactly once.
@@ -86,8 +86,8 @@
     for (int i = 1; expected.size() < m_forwarded.size(); ++i) {
       expected += EventText(i);
     }
-    Must(m_forwarded == expected || !m_traits.m_stream);
-    Must(!m_ended || !m_traits.m_stream || m_given == kStreamLength);
+    AssertHolds(m_forwarded == expected || !m_traits.m_stream);
+    AssertHolds(!m_ended || !m_traits.m_stream || m_given == kStreamLength);
   }
 
   bool IsDone() const { return m_flow.IsDone(); }
@@ -108,8 +108,8 @@
 
   void StepAttempt(int aWhat)
   {
-    if (m_reading) {
-      const std::vector<RelayEvent> ends{ PromptRead{ m_attempt, "h" },
+    if (m_prefilling) {
+      const std::vector<RelayEvent> ends{ PrefillCompleted{ m_attempt, "h" },
                                           AttemptBroke{ m_attempt },
                                           AttemptRefused{ m_attempt },
                                           AttemptUnsent{ m_attempt },
@@ -163,19 +163,19 @@
 
   void Do(const FindPlace&)
   {
-    m_finding = true;
+    m_wantsPlace = true;
     m_attempt = 0;
   }
-  void Do(const SendRead& aAction)
+  void Do(const SendPrefill& aAction)
   {
     m_attempt = aAction.m_attempt;
-    m_reading = true;
+    m_prefilling = true;
   }
   void Do(const SendRun& aAction)
   {
     m_attempt = aAction.m_attempt;
     m_runAt = aAction.m_upstream;
-    m_reading = false;
+    m_prefilling = false;
     m_headSent = false;
     m_attemptRan = false;
     m_next =
@@ -196,18 +196,18 @@
     ++m_finals;
     m_ended = true;
   }
-  void Do(const ForwardWhole&) { ++m_finals; }
-  void Do(const BreakOff&) { ++m_finals; }
-  void Do(const ReplyOwn& aAction)
+  void Do(const ForwardCompleteAnswer&) { ++m_finals; }
+  void Do(const AbortConnection&) { ++m_finals; }
+  void Do(const ReplyError& aAction)
   {
     ++m_finals;
-    m_saidNotRun = aAction.m_reason == ReplyOwn::Reason::NoRoom;
+    m_saidNotRun = aAction.m_reason == ReplyError::Reason::NoRoom;
   }
 
   RelayTraits m_traits;
   RelayFlow m_flow;
-  bool m_finding = false;
-  bool m_reading = false;
+  bool m_wantsPlace = false;
+  bool m_prefilling = false;
   bool m_headSent = false;
   bool m_attemptRan = false;
   bool m_left = false;
@@ -229,7 +229,7 @@
 void
 PlayCall(RelayTraits aTraits)
 {
-  World world(aTraits);
+  RelaySimulation world(aTraits);
   world.Take(CallBegan{});
   for (int i = 0; i < 60 && !world.IsDone(); ++i) {
     world.Step();
@@ -240,7 +240,7 @@
     world.Check();
   }
   RC_ASSERT(world.IsDone());
-  Must(world.Finals() == 1 || world.Left());
+  AssertHolds(world.Finals() == 1 || world.Left());
 }
 
 struct WorldCase
--- a/packages/roles/include/ridgeferry/roles/MixEstimator.h
+++ b/packages/roles/include/ridgeferry/roles/MixEstimator.h
@@ -16,7 +16,7 @@
 public:
   /** Time constant of the exponential decay of earlier demand, in
    * milliseconds. */
-  static constexpr Duration kMemory{ 60'000 };
+  static constexpr Duration kTimeConstant{ 60'000 };
 
   /** Records the work of one call, as the seconds that one engine needs for its
    * prefill and for its decode. */
--- a/packages/roles/include/ridgeferry/roles/RolePlanner.h
+++ b/packages/roles/include/ridgeferry/roles/RolePlanner.h
@@ -45,7 +45,7 @@
   Duration m_lead{ 30'000 };
   /** How long an estimated share, which no event declares, is assumed to
    * last. */
-  Duration m_undeclaredLasts{ 120'000 };
+  Duration m_estimateLasts{ 120'000 };
 };
 
 /**
--- a/packages/roles/src/MixEstimator.cpp
+++ b/packages/roles/src/MixEstimator.cpp
@@ -11,7 +11,7 @@
     return 1;
   }
   const auto elapsed = static_cast<double>((aNow - *m_at).count());
-  return std::exp(-elapsed / static_cast<double>(kMemory.count()));
+  return std::exp(-elapsed / static_cast<double>(kTimeConstant.count()));
 }
 
 void
--- a/packages/roles/src/RolePlanner.cpp
+++ b/packages/roles/src/RolePlanner.cpp
@@ -15,7 +15,8 @@
 
 /** Returns whether the event applies to the deployment. */
 bool
-Concerns(const declared::Event& aEvent, const declared::Deployment& aDeployment)
+AppliesTo(const declared::Event& aEvent,
+          const declared::Deployment& aDeployment)
 {
   return aEvent.m_deployments.Matches(aDeployment.m_labels);
 }
@@ -66,7 +67,7 @@
 {
   std::optional<WallTime> nextStart;
   for (const declared::Event* event : aEvents) {
-    if (!Concerns(*event, aDeployment)) {
+    if (!AppliesTo(*event, aDeployment)) {
       continue;
     }
     const WallTime end = event->m_start + event->m_duration;
@@ -80,7 +81,7 @@
   if (!aEstimatedShare) {
     return std::nullopt;
   }
-  Duration lasts = aTimes.m_undeclaredLasts;
+  Duration lasts = aTimes.m_estimateLasts;
   if (nextStart) {
     lasts = std::min(lasts, *nextStart - aNow);
   }
--- a/packages/roles/tests/RolePlannerTest.cpp
+++ b/packages/roles/tests/RolePlannerTest.cpp
@@ -90,7 +90,7 @@
   EXPECT_EQ(at(-event.m_duration), 0.3);
 }
 
-TEST(ForecastTest, IsBlindWithoutEventAndDemand)
+TEST(ForecastTest, IsEmptyWithoutEventAndDemand)
 {
   EXPECT_FALSE(ForecastFor({}, {}, std::nullopt, {}, {}).has_value());
 }
@@ -102,7 +102,7 @@
   EXPECT_FALSE(mix.PrefillShare(start).has_value());
   mix.NoteDemand(1, 0, start);
   EXPECT_EQ(mix.PrefillShare(start), 1.0);
-  const Instant later = start + 10 * MixEstimator::kMemory;
+  const Instant later = start + 10 * MixEstimator::kTimeConstant;
   mix.NoteDemand(0, 1, later);
   EXPECT_LT(*mix.PrefillShare(later), 0.01);
 }
--- a/packages/routing/include/ridgeferry/routing/CallFlow.h
+++ b/packages/routing/include/ridgeferry/routing/CallFlow.h
@@ -27,21 +27,21 @@
 
 /** A position in the output stream of an engine. The `id` field of each
  * server-sent event carries it, so that a caller can resume the stream. */
-struct StreamPlace
+struct StreamPosition
 {
   std::string m_engine;
   std::string m_stream;
   std::uint64_t m_offset = 0; ///< Number of tokens before this position.
-  bool operator==(const StreamPlace&) const = default;
+  bool operator==(const StreamPosition&) const = default;
 };
 
 /** Returns the position as `ENGINE/STREAM/OFFSET`. */
 std::string
-EncodePlace(const StreamPlace& aPlace);
-/** Parses the output of `EncodePlace`. Returns `std::nullopt` if the text is
- * not a valid position. */
-std::optional<StreamPlace>
-DecodePlace(std::string_view aText);
+EncodeStreamPosition(const StreamPosition& aPlace);
+/** Parses the output of `EncodeStreamPosition`. Returns `std::nullopt` if the
+ * text is not a valid position. */
+std::optional<StreamPosition>
+DecodeStreamPosition(std::string_view aText);
 
 // ---- events ----
 
@@ -51,7 +51,7 @@
  * producing. Replaces `CallBegan` as the first event. */
 struct ResumeAsked
 {
-  StreamPlace m_place;
+  StreamPosition m_position;
   std::string m_address;
 };
 /** The call's key is claimed, so the call may be sent. */
@@ -180,7 +180,7 @@
 struct RequestUpstream
 {
   /** A decode engine is wanted, because the prefill is complete. */
-  bool m_wantsPair = false;
+  bool m_wantsDecodeEngine = false;
   std::vector<std::string> m_excluded; ///< Upstreams that failed or refused.
   /** Number of retries so far. The driver waits before the request according to
    * this number. */
@@ -227,7 +227,7 @@
 /** Sends a token of a streamed answer to the caller. */
 struct ReplyToken
 {
-  StreamPlace m_place; ///< The position after this token.
+  StreamPosition m_position; ///< The position after this token.
   std::string m_text;
 };
 /** Ends a streamed answer regularly. */
@@ -348,7 +348,7 @@
    * must not be sent again. */
   void Retry(Actions& aActions, ProblemCode aCode);
   /** Handles an attempt that may have run and whose output is incomplete. */
-  void Broke(Actions& aActions);
+  void HandleBrokenAttempt(Actions& aActions);
   void Release(bool aFailed, Actions& aActions);
   /** Ends the call with a problem. The outcome of a claimed call is stored
    * before the problem is sent. */
@@ -361,7 +361,7 @@
   Step m_step = Step::New;
   bool m_claimed = false;
   /** Some attempt may have run, and its outcome is unknown. */
-  bool m_unsure = false;
+  bool m_mayHaveRun = false;
   bool m_retryAllowed = true;
   AttemptId m_attempt = 0;
   int m_retries = 0;
@@ -375,7 +375,7 @@
    */
   bool m_resumeTried = false;
   bool m_streamStarted = false;
-  bool m_wantsPair = false;
+  bool m_wantsDecodeEngine = false;
   std::uint64_t m_nextOffset = 0;
   std::string m_text; ///< The output from offset `m_textStart` on.
   /** Above 0 if the caller got the tokens before this offset in an earlier
--- a/packages/routing/include/ridgeferry/routing/Dispatcher.h
+++ b/packages/routing/include/ridgeferry/routing/Dispatcher.h
@@ -28,7 +28,7 @@
   Instant m_deadline;
   std::shared_ptr<const PoolSpec> m_pool;
   /** The prefill of the call is complete, so it needs a decode engine. */
-  bool m_wantsPair = false;
+  bool m_wantsDecodeEngine = false;
   std::uint64_t m_prefixHash = 0;
   /** Upstreams that failed or refused this call. */
   std::vector<std::string> m_excluded;
@@ -65,11 +65,11 @@
   static constexpr std::size_t kMaxQueued = 2000;
   /** How long after the last arrival of an urgent call a slot of each upstream
    * stays reserved for urgent calls, in milliseconds. */
-  static constexpr Duration kUrgentMemory{ 10'000 };
+  static constexpr Duration kUrgentReserveTime{ 10'000 };
   /** Retry delay, in milliseconds, if the pool has no upstream at all. */
-  static constexpr Duration kNoUpstreamRetry{ 2000 };
+  static constexpr Duration kNoUpstreamRetryDelay{ 2000 };
   /** Minimum retry delay of every other rejection, in milliseconds. */
-  static constexpr Duration kLeastRetry{ 500 };
+  static constexpr Duration kMinRetryDelay{ 500 };
 
   Dispatcher(UpstreamSet& aUpstreams, ChoicePolicy aPolicy);
 
@@ -106,9 +106,9 @@
 
 private:
   /** Rate at which calls end without failure, for the estimate of the wait. */
-  struct PoolRate
+  struct CompletionRate
   {
-    double m_endsPerSecond = 0; ///< Smoothed rate; 0 if not known yet.
+    double m_perSecond = 0; ///< Smoothed rate; 0 if not known yet.
     std::int64_t m_endsInWindow = 0;
     std::optional<Instant> m_windowStart;
   };
@@ -139,7 +139,7 @@
     m_queues;
   std::int64_t m_liveInstances = 1;
   std::optional<Instant> m_lastUrgent;
-  PoolRate m_rate;
+  CompletionRate m_rate;
 };
 
 } // namespace ridgeferry::routing
--- a/packages/routing/include/ridgeferry/routing/RetryBudget.h
+++ b/packages/routing/include/ridgeferry/routing/RetryBudget.h
@@ -14,7 +14,7 @@
 public:
   static constexpr double kPerCall = 0.2; ///< Retries that each call adds.
   /** Maximum number of unused retries. */
-  static constexpr double kMost = 20;
+  static constexpr double kMaxAvailable = 20;
   static constexpr Duration kFirstBackoff{ 20 };
   static constexpr Duration kLongestBackoff{ 1000 };
 
@@ -31,7 +31,7 @@
   static Duration Backoff(int aRetry, std::uint64_t aRandom);
 
 private:
-  double m_saved = kMost;
+  double m_available = kMaxAvailable;
 };
 
 } // namespace ridgeferry::routing
--- a/packages/routing/include/ridgeferry/routing/UpstreamSet.h
+++ b/packages/routing/include/ridgeferry/routing/UpstreamSet.h
@@ -59,7 +59,7 @@
   bool m_leaving = false;
   int m_failuresInRow = 0;
   /** Until this time the upstream is ejected: it gets no new calls. */
-  std::optional<Instant> m_closedUntil;
+  std::optional<Instant> m_ejectedUntil;
 };
 
 /** Index of an upstream in its `UpstreamSet`. Valid until the next
@@ -81,9 +81,9 @@
    * route. */
   std::string m_key;
   UpstreamKind m_kind = UpstreamKind::Engine;
-  declared::Selector m_first;  ///< Selector of the service or deployment.
-  declared::Selector m_second; ///< Selector of the route.
-  std::string m_model;         ///< Engines only: the model to be loaded.
+  declared::Selector m_ownSelector; ///< Selector of the service or deployment.
+  declared::Selector m_routeSelector; ///< Selector of the route.
+  std::string m_model;                ///< Engines only: the model to be loaded.
   std::string m_version;
   std::string m_adapter;
 };
@@ -98,9 +98,9 @@
 {
 public:
   /** Number of consecutive failures after which an upstream is ejected. */
-  static constexpr int kFailuresToClose = 3;
+  static constexpr int kFailuresToEject = 3;
   /** How long an upstream stays ejected, in milliseconds. */
-  static constexpr Duration kClosedFor{ 2000 };
+  static constexpr Duration kEjectionTime{ 2000 };
   /** Slots of an upstream that has sent no report, such as a service. */
   static constexpr std::int64_t kServiceSlots = 64;
 
@@ -120,7 +120,7 @@
   void MarkLeaving(std::string_view aId);
   /** Discards the cached pools. Must be called when the configuration
    * changes. */
-  void ForgetPools();
+  void DiscardPools();
 
   /** Returns `std::nullopt` if no upstream has this id. */
   std::optional<UpstreamIndex> Find(std::string_view aId) const;
--- a/packages/routing/src/CallFlow.cpp
+++ b/packages/routing/src/CallFlow.cpp
@@ -14,21 +14,21 @@
 } // namespace
 
 std::string
-EncodePlace(const StreamPlace& aPlace)
+EncodeStreamPosition(const StreamPosition& aPlace)
 {
   return aPlace.m_engine + "/" + aPlace.m_stream + "/" +
          std::to_string(aPlace.m_offset);
 }
 
-std::optional<StreamPlace>
-DecodePlace(std::string_view aText)
+std::optional<StreamPosition>
+DecodeStreamPosition(std::string_view aText)
 {
   const std::size_t first = aText.find('/');
   const std::size_t last = aText.rfind('/');
   if (first == std::string_view::npos || first == last || first == 0) {
     return std::nullopt;
   }
-  StreamPlace place;
+  StreamPosition place;
   place.m_engine = aText.substr(0, first);
   place.m_stream = aText.substr(first + 1, last - first - 1);
   const std::string_view digits = aText.substr(last + 1);
@@ -78,7 +78,7 @@
 Outcome
 CallFlow::WorstOutcome() const
 {
-  return m_unsure ? Outcome::MayHaveRun : Outcome::NotRun;
+  return m_mayHaveRun ? Outcome::MayHaveRun : Outcome::NotRun;
 }
 
 void
@@ -108,7 +108,8 @@
 CallFlow::Choose(Actions& aActions)
 {
   m_step = Step::Choosing;
-  aActions.emplace_back(RequestUpstream{ m_wantsPair, m_excluded, m_retries });
+  aActions.emplace_back(
+    RequestUpstream{ m_wantsDecodeEngine, m_excluded, m_retries });
 }
 
 void
@@ -132,12 +133,12 @@
     return;
   }
   m_step = Step::Sent;
-  m_unsure = true; // An earlier connection started this run.
+  m_mayHaveRun = true; // An earlier connection started this run.
   m_resumeTried = true;
-  m_stream = aEvent.m_place.m_stream;
-  m_upstream = aEvent.m_place.m_engine;
+  m_stream = aEvent.m_position.m_stream;
+  m_upstream = aEvent.m_position.m_engine;
   m_address = aEvent.m_address;
-  m_nextOffset = aEvent.m_place.m_offset;
+  m_nextOffset = aEvent.m_position.m_offset;
   m_textStart = m_nextOffset;
   aActions.emplace_back(ResumeAttempt{
     ++m_attempt, m_upstream, m_address, m_stream, m_nextOffset });
@@ -220,7 +221,7 @@
 CallFlow::Retry(Actions& aActions, ProblemCode aCode)
 {
   const bool mayRetry = m_retryAllowed && m_attempt < kMaxAttempts &&
-                        (m_traits.m_repeatable || !m_unsure);
+                        (m_traits.m_repeatable || !m_mayHaveRun);
   if (!mayRetry) {
     GiveUp({ aCode, WorstOutcome(), kFailedRetry, {} }, aActions);
     return;
@@ -278,7 +279,7 @@
     // Tokens are missing. They must be read before any later token is sent to
     // the caller.
     aActions.emplace_back(CancelAttempt{ m_attempt });
-    Broke(aActions);
+    HandleBrokenAttempt(aActions);
     return;
   }
   ++m_nextOffset;
@@ -298,7 +299,7 @@
   }
   if (aEvent.m_tokens != m_nextOffset) {
     // Tokens are missing, so the output is incomplete.
-    Broke(aActions);
+    HandleBrokenAttempt(aActions);
     return;
   }
   Release(false, aActions);
@@ -323,7 +324,7 @@
   Release(false, aActions);
   if (m_phase == Phase::Prefill && !aEvent.m_kvHandle.empty()) {
     m_kvHandle = aEvent.m_kvHandle;
-    m_wantsPair = true;
+    m_wantsDecodeEngine = true;
     Choose(aActions);
     return;
   }
@@ -340,14 +341,14 @@
 CallFlow::On(const AttemptBroke& aEvent, Actions& aActions)
 {
   if (IsCurrent(aEvent.m_attempt)) {
-    Broke(aActions);
+    HandleBrokenAttempt(aActions);
   }
 }
 
 void
-CallFlow::Broke(Actions& aActions)
+CallFlow::HandleBrokenAttempt(Actions& aActions)
 {
-  m_unsure = true;
+  m_mayHaveRun = true;
   const bool canResume = m_traits.m_generation && !m_stream.empty() &&
                          !m_resumeTried && m_attempt < kMaxAttempts;
   if (canResume) {
@@ -363,7 +364,7 @@
   // The KV handle may refer to the failed engine, so the call starts again with
   // the prefill.
   m_kvHandle.clear();
-  m_wantsPair = false;
+  m_wantsDecodeEngine = false;
   Retry(aActions, ProblemCode::UpstreamFailed);
 }
 
@@ -385,7 +386,7 @@
     return;
   }
   if (m_step == Step::Sent) {
-    m_unsure = true;
+    m_mayHaveRun = true;
     aActions.emplace_back(CancelAttempt{ m_attempt });
     Release(false, aActions);
   }
--- a/packages/routing/src/Chooser.cpp
+++ b/packages/routing/src/Chooser.cpp
@@ -42,7 +42,7 @@
 
   /** Returns the estimated load as a fraction of the slots, so that engines
    * with different numbers of slots can be compared. */
-  double Fill(UpstreamIndex aIndex) const
+  double LoadFraction(UpstreamIndex aIndex) const
   {
     return static_cast<double>(m_upstreams.EstimatedLoad(aIndex)) /
            static_cast<double>(
@@ -76,7 +76,7 @@
     return best;
   }
 
-  std::optional<UpstreamIndex> Two() const
+  std::optional<UpstreamIndex> BestOfTwo() const
   {
     const auto first = FirstWithRoomFrom(m_request.m_random);
     const auto second =
@@ -84,27 +84,27 @@
     if (!first || !second) {
       return first ? first : second;
     }
-    return Fill(*second) < Fill(*first) ? second : first;
+    return LoadFraction(*second) < LoadFraction(*first) ? second : first;
   }
 
   std::optional<UpstreamIndex> Affinity(double aBound) const
   {
     if (m_request.m_prefixHash == 0) {
-      return Two();
+      return BestOfTwo();
     }
-    const double limit = MeanFill() * aBound + kAlwaysAllowed;
+    const double limit = MeanLoadFraction() * aBound + kAlwaysAllowed;
     std::optional<UpstreamIndex> best;
     std::uint64_t bestWeight = 0;
     for (UpstreamIndex index : m_pool) {
       const std::uint64_t weight =
         RendezvousWeight(m_request.m_prefixHash, m_upstreams.At(index).m_hash);
       const bool heavier = !best || weight > bestWeight;
-      if (heavier && HasRoom(index) && Fill(index) <= limit) {
+      if (heavier && HasRoom(index) && LoadFraction(index) <= limit) {
         best = index;
         bestWeight = weight;
       }
     }
-    return best ? best : Two();
+    return best ? best : BestOfTwo();
   }
 
 private:
@@ -123,11 +123,11 @@
     return std::nullopt;
   }
 
-  double MeanFill() const
+  double MeanLoadFraction() const
   {
     double sum = 0;
     for (UpstreamIndex index : m_pool) {
-      sum += Fill(index);
+      sum += LoadFraction(index);
     }
     return m_pool.empty() ? 0 : sum / static_cast<double>(m_pool.size());
   }
@@ -165,7 +165,7 @@
                       aUpstreams.At(aIndex).m_ownInFlight);
                   });
                 },
-                [&](const TwoChoices&) { return choice.Two(); },
+                [&](const TwoChoices&) { return choice.BestOfTwo(); },
                 [&](const BoundedAffinity& aAffinity) {
                   return choice.Affinity(aAffinity.m_bound);
                 } },
--- a/packages/routing/src/Dispatcher.cpp
+++ b/packages/routing/src/Dispatcher.cpp
@@ -38,14 +38,14 @@
   if (m_upstreams.Pool(*aRequest.m_pool).empty()) {
     return Rejected{ aRequest.m_call,
                      ProblemCode::NoUpstream,
-                     kNoUpstreamRetry };
+                     kNoUpstreamRetryDelay };
   }
   const Duration wait = ExpectedWait(aRequest);
   if (m_queues[index].size() >= kMaxQueued ||
       aNow + wait >= aRequest.m_deadline) {
     return Rejected{ aRequest.m_call,
                      ProblemCode::Overloaded,
-                     std::max(kLeastRetry, wait) };
+                     std::max(kMinRetryDelay, wait) };
   }
   m_queues[index].push_back(std::move(aRequest));
   return std::nullopt;
@@ -76,11 +76,10 @@
   if (elapsed >= kRateWindow) {
     const double rate = static_cast<double>(m_rate.m_endsInWindow) /
                         std::chrono::duration<double>(elapsed).count();
-    m_rate.m_endsPerSecond =
-      m_rate.m_endsPerSecond == 0
+    m_rate.m_perSecond =
+      m_rate.m_perSecond == 0
         ? rate
-        : m_rate.m_endsPerSecond +
-            kRateSmoothing * (rate - m_rate.m_endsPerSecond);
+        : m_rate.m_perSecond + kRateSmoothing * (rate - m_rate.m_perSecond);
     m_rate.m_endsInWindow = 0;
     m_rate.m_windowStart = aNow;
   }
@@ -94,11 +93,11 @@
        ++i) {
     ahead += m_queues[i].size();
   }
-  if (ahead == 0 || m_rate.m_endsPerSecond <= 0) {
+  if (ahead == 0 || m_rate.m_perSecond <= 0) {
     return Duration{ 0 };
   }
   return std::chrono::ceil<Duration>(std::chrono::duration<double>(
-    static_cast<double>(ahead) / m_rate.m_endsPerSecond));
+    static_cast<double>(ahead) / m_rate.m_perSecond));
 }
 
 Phase
@@ -106,7 +105,7 @@
                      std::span<const UpstreamIndex> aPool,
                      Instant aNow) const
 {
-  if (aRequest.m_wantsPair) {
+  if (aRequest.m_wantsDecodeEngine) {
     return Phase::Decode;
   }
   if (aRequest.m_pool->m_kind == UpstreamKind::Service) {
@@ -123,7 +122,7 @@
 Dispatcher::ReserveFor(const UpstreamRequest& aRequest, Instant aNow) const
 {
   const bool urgentAround =
-    m_lastUrgent && aNow - *m_lastUrgent < kUrgentMemory;
+    m_lastUrgent && aNow - *m_lastUrgent < kUrgentReserveTime;
   return urgentAround && aRequest.m_class != declared::TrafficClass::Urgent ? 1
                                                                             : 0;
 }
@@ -185,7 +184,7 @@
   for (auto it = queue.begin(); it != queue.end();) {
     if (aNow >= it->m_deadline) {
       aOut.emplace_back(
-        Rejected{ it->m_call, ProblemCode::DeadlineExceeded, kLeastRetry });
+        Rejected{ it->m_call, ProblemCode::DeadlineExceeded, kMinRetryDelay });
       it = queue.erase(it);
       continue;
     }
@@ -200,7 +199,7 @@
       it = queue.erase(it);
       continue;
     }
-    if (it->m_excluded.empty() && !it->m_wantsPair) {
+    if (it->m_excluded.empty() && !it->m_wantsDecodeEngine) {
       full.push_back(pool);
     }
     ++it;
--- a/packages/routing/src/RetryBudget.cpp
+++ b/packages/routing/src/RetryBudget.cpp
@@ -7,16 +7,16 @@
 void
 RetryBudget::NoteCall()
 {
-  m_saved = std::min(kMost, m_saved + kPerCall);
+  m_available = std::min(kMaxAvailable, m_available + kPerCall);
 }
 
 bool
 RetryBudget::TakeRetry()
 {
-  if (m_saved < 1) {
+  if (m_available < 1) {
     return false;
   }
-  m_saved -= 1;
+  m_available -= 1;
   return true;
 }
 
--- a/packages/routing/src/UpstreamSet.cpp
+++ b/packages/routing/src/UpstreamSet.cpp
@@ -62,7 +62,7 @@
   }
   m_items = std::move(next);
   m_byId = std::move(byId);
-  ForgetPools();
+  DiscardPools();
 }
 
 void
@@ -80,7 +80,7 @@
   upstream->m_reportedAt = aNow;
   upstream->m_sentSinceReport = 0;
   if (!sameLoad) {
-    ForgetPools();
+    DiscardPools();
   }
 }
 
@@ -105,7 +105,7 @@
 }
 
 void
-UpstreamSet::ForgetPools()
+UpstreamSet::DiscardPools()
 {
   m_pools.clear();
 }
@@ -129,8 +129,8 @@
 {
   const ListedUpstream& listed = aUpstream.m_listed;
   if (listed.m_kind != aSpec.m_kind ||
-      !aSpec.m_first.Matches(listed.m_labels) ||
-      !aSpec.m_second.Matches(listed.m_labels)) {
+      !aSpec.m_ownSelector.Matches(listed.m_labels) ||
+      !aSpec.m_routeSelector.Matches(listed.m_labels)) {
     return false;
   }
   if (aSpec.m_kind == UpstreamKind::Service) {
@@ -164,7 +164,7 @@
   if (upstream.m_leaving) {
     return false;
   }
-  if (upstream.m_closedUntil && aNow < *upstream.m_closedUntil) {
+  if (upstream.m_ejectedUntil && aNow < *upstream.m_ejectedUntil) {
     return false;
   }
   if (upstream.m_listed.m_kind == UpstreamKind::Service) {
@@ -214,11 +214,11 @@
     std::max<std::int64_t>(0, upstream->m_sentSinceReport - 1);
   if (!aFailed) {
     upstream->m_failuresInRow = 0;
-    upstream->m_closedUntil.reset();
+    upstream->m_ejectedUntil.reset();
     return;
   }
-  if (++upstream->m_failuresInRow >= kFailuresToClose) {
-    upstream->m_closedUntil = aNow + kClosedFor;
+  if (++upstream->m_failuresInRow >= kFailuresToEject) {
+    upstream->m_ejectedUntil = aNow + kEjectionTime;
   }
 }
 
--- a/packages/routing/tests/CallFlowTest.cpp
+++ b/packages/routing/tests/CallFlowTest.cpp
@@ -26,10 +26,10 @@
  * or may not be stored. The caller may leave and the deadline may pass at any
  * time.
  */
-class CallWorld
+class CallSimulation
 {
 public:
-  explicit CallWorld(CallTraits aTraits)
+  explicit CallSimulation(CallTraits aTraits)
     : m_traits(aTraits)
     , m_flow(aTraits)
   {
@@ -275,13 +275,13 @@
 class CallFlowTest : public ::testing::TestWithParam<FlowCase>
 {};
 
-TEST_P(CallFlowTest, KeepsItsPromisesInAnySchedule)
+TEST_P(CallFlowTest, KeepsItsInvariantsInAnySchedule)
 {
   int whole = 0;
   EXPECT_TRUE(rc::check("the invariants hold in any schedule", [&]() {
     constexpr std::size_t kSteps = 120;
     const auto schedule = *support::AnySchedule(kSteps);
-    CallWorld world(GetParam().m_traits);
+    CallSimulation world(GetParam().m_traits);
     for (std::uint32_t number : schedule) {
       world.Step(number);
     }
@@ -339,36 +339,36 @@
   [](const auto& aInfo) { return std::string(aInfo.param.m_name); });
 
 /** The text of a stream position, and whether it is valid. */
-struct PlaceCase
+struct PositionCase
 {
   const char* m_text;
   bool m_valid;
 };
 
-class StreamPlaceTest : public ::testing::TestWithParam<PlaceCase>
+class StreamPositionTest : public ::testing::TestWithParam<PositionCase>
 {};
 
-TEST_P(StreamPlaceTest, ReadsOnlyWholePlaces)
+TEST_P(StreamPositionTest, DecodesOnlyValidPositions)
 {
-  const auto place = DecodePlace(GetParam().m_text);
+  const auto place = DecodeStreamPosition(GetParam().m_text);
   ASSERT_EQ(place.has_value(), GetParam().m_valid);
   if (place) {
-    EXPECT_EQ(EncodePlace(*place), GetParam().m_text);
+    EXPECT_EQ(EncodeStreamPosition(*place), GetParam().m_text);
   }
 }
 
 INSTANTIATE_TEST_SUITE_P(Texts,
-                         StreamPlaceTest,
-                         ::testing::Values(PlaceCase{ "e/s/0", true },
-                                           PlaceCase{ "e/s-1/42", true },
-                                           PlaceCase{ "", false },
-                                           PlaceCase{ "e", false },
-                                           PlaceCase{ "e/1", false },
-                                           PlaceCase{ "/s/1", false },
-                                           PlaceCase{ "e//1", false },
-                                           PlaceCase{ "e/s/", false },
-                                           PlaceCase{ "e/s/-1", false },
-                                           PlaceCase{ "e/s/1x", false }));
+                         StreamPositionTest,
+                         ::testing::Values(PositionCase{ "e/s/0", true },
+                                           PositionCase{ "e/s-1/42", true },
+                                           PositionCase{ "", false },
+                                           PositionCase{ "e", false },
+                                           PositionCase{ "e/1", false },
+                                           PositionCase{ "/s/1", false },
+                                           PositionCase{ "e//1", false },
+                                           PositionCase{ "e/s/", false },
+                                           PositionCase{ "e/s/-1", false },
+                                           PositionCase{ "e/s/1x", false }));
 
 } // namespace
 } // namespace ridgeferry::routing
--- a/packages/routing/tests/DispatcherTest.cpp
+++ b/packages/routing/tests/DispatcherTest.cpp
@@ -105,8 +105,9 @@
   ASSERT_FALSE(Offer(2, TrafficClass::Normal));
   ASSERT_FALSE(Offer(3, TrafficClass::Normal));
   EXPECT_EQ(Pump(), (Calls{ 2 }));
-  // The slot is still reserved 1 ms before `kUrgentMemory` has passed.
-  EXPECT_EQ(Pump(kStart + Dispatcher::kUrgentMemory - Duration{ 1 }), Calls{});
+  // The slot is still reserved 1 ms before `kUrgentReserveTime` has passed.
+  EXPECT_EQ(Pump(kStart + Dispatcher::kUrgentReserveTime - Duration{ 1 }),
+            Calls{});
 }
 
 // A slot that stayed reserved without urgent calls would be wasted.
@@ -118,7 +119,7 @@
   m_dispatcher.Ended("e0", false, kStart);
   ASSERT_FALSE(Offer(2, TrafficClass::Normal, Duration{ 60'000 }));
   ASSERT_FALSE(Offer(3, TrafficClass::Normal, Duration{ 60'000 }));
-  EXPECT_EQ(Pump(kStart + Dispatcher::kUrgentMemory), (Calls{ 2, 3 }));
+  EXPECT_EQ(Pump(kStart + Dispatcher::kUrgentReserveTime), (Calls{ 2, 3 }));
 }
 
 TEST_F(DispatcherTest, RefusesAtOnceWithoutUpstreams)
@@ -193,7 +194,7 @@
 
 // If an out-of-date list cancelled the announcement, the leaving upstream would
 // get new calls and then interrupt them when it stops.
-TEST(UpstreamSetTest, ForgetsNoWordOfLeaving)
+TEST(UpstreamSetTest, StaysLeavingWhenTheListIsOutOfDate)
 {
   UpstreamSet upstreams;
   const ListedUpstream listed[] = {
@@ -205,21 +206,21 @@
   EXPECT_FALSE(upstreams.MayServe(0, Phase::Whole, kStart));
 }
 
-TEST(UpstreamSetTest, ClosesAFailingUpstreamForAWhile)
+TEST(UpstreamSetTest, EjectsAFailingUpstreamForAWhile)
 {
   UpstreamSet upstreams;
   const ListedUpstream listed[] = {
     { "s", UpstreamKind::Service, {}, {}, {} }
   };
   upstreams.SetListed(listed);
-  for (int i = 0; i < UpstreamSet::kFailuresToClose; ++i) {
+  for (int i = 0; i < UpstreamSet::kFailuresToEject; ++i) {
     EXPECT_TRUE(upstreams.MayServe(0, Phase::Whole, kStart));
     upstreams.NoteSent("s");
     upstreams.NoteEnded("s", true, kStart);
   }
   EXPECT_FALSE(upstreams.MayServe(0, Phase::Whole, kStart));
   EXPECT_TRUE(
-    upstreams.MayServe(0, Phase::Whole, kStart + UpstreamSet::kClosedFor));
+    upstreams.MayServe(0, Phase::Whole, kStart + UpstreamSet::kEjectionTime));
 }
 
 // All instances together must allow one organisation no more than its rate. At
