--- a/packages/claims/tests/ClaimWorldTest.cpp
+++ b/packages/claims/tests/ClaimWorldTest.cpp
@@ -218,7 +218,7 @@
   const char* m_name;
   table::CommitResult m_write;
   CallEnded m_ended;
-  Outcome m_toldMeanwhile;
+  Outcome m_reportedMeanwhile;
   ClaimState m_recorded;
 };
 
@@ -228,7 +228,7 @@
   /**
    * Answers the claim's reads and writes with failures until the claim waits.
    */
-  RecordLater FailUntilItWaits(ClaimAction aAction)
+  RecordLater FailUntilTheClaimWaits(ClaimAction aAction)
   {
     constexpr int kMostSteps = 20;
     for (int i = 0; i < kMostSteps; ++i) {
@@ -285,8 +285,8 @@
   ClaimAction action = m_claim.Handle(GetParam().m_ended);
   Duration last{};
   for (int round = 0; round < 10; ++round) {
-    const RecordLater later = FailUntilItWaits(std::move(action));
-    EXPECT_EQ(later.m_outcome, GetParam().m_toldMeanwhile);
+    const RecordLater later = FailUntilTheClaimWaits(std::move(action));
+    EXPECT_EQ(later.m_outcome, GetParam().m_reportedMeanwhile);
     EXPECT_GE(later.m_wait, last);
     EXPECT_LE(later.m_wait, Claim::kLongestRecordWait);
     last = later.m_wait;
--- a/packages/config/tests/ConfigWorldTest.cpp
+++ b/packages/config/tests/ConfigWorldTest.cpp
@@ -159,7 +159,7 @@
    * Delivers the event only if the process that asked has not been replaced
    * since.
    */
-  void FeedLife(std::size_t aAt, int aLife, const ReplicaEvent& aEvent)
+  void FeedIfNotReplaced(std::size_t aAt, int aLife, const ReplicaEvent& aEvent)
   {
     if (m_nodes[aAt].m_life == aLife) {
       Feed(aAt, aEvent);
@@ -171,13 +171,13 @@
     const int life = m_nodes[aAt].m_life;
     m_network.push_back([this, aAt, life, aFetch](bool aLost) {
       if (aLost) {
-        FeedLife(aAt, life, FetchFailed{});
+        FeedIfNotReplaced(aAt, life, FetchFailed{});
         return;
       }
       if (!aFetch.m_peer.empty()) {
         // A peer sends its whole configuration.
         const Replica& peer = m_nodes[std::stoul(aFetch.m_peer)].m_replica;
-        FeedLife(
+        FeedIfNotReplaced(
           aAt, life, SnapshotArrived{ peer.InForce(), peer.Catalog().Texts() });
         return;
       }
@@ -186,7 +186,7 @@
         arrived.m_changes.push_back(
           *DecodeChange(m_table.Read(ChangeKey(i)).m_value));
       }
-      FeedLife(aAt, life, arrived);
+      FeedIfNotReplaced(aAt, life, arrived);
     });
   }
 
@@ -195,7 +195,7 @@
     const int life = m_nodes[aAt].m_life;
     m_network.push_back([this, aAt, life](bool aLost) {
       if (!aLost) {
-        FeedLife(aAt, life, RevisionSeen{ HeadRevision(), {} });
+        FeedIfNotReplaced(aAt, life, RevisionSeen{ HeadRevision(), {} });
       }
     });
   }
@@ -206,7 +206,8 @@
     const int life = m_nodes[aAt].m_life;
     m_network.push_back([this, aAt, life, aFrom, revision](bool aLost) {
       if (!aLost) {
-        FeedLife(aAt, life, RevisionSeen{ revision, std::to_string(aFrom) });
+        FeedIfNotReplaced(
+          aAt, life, RevisionSeen{ revision, std::to_string(aFrom) });
       }
     });
   }
--- a/packages/entry/src/Entry.cpp
+++ b/packages/entry/src/Entry.cpp
@@ -365,7 +365,7 @@
   m_peers->SetStoreView(StoreView());
   // Only pollers notify: instances on standby wait for this message, and if
   // they sent it too, it would be sent twice.
-  if (m_peers->IsOnDuty()) {
+  if (m_peers->IsPoller()) {
     m_peers->TellHall();
   }
 }
@@ -408,7 +408,7 @@
   m_node.m_metrics.Set("calls_held", static_cast<double>(m_quarantine->Held()));
   m_node.m_metrics.Set("calls_suspected",
                        static_cast<double>(m_quarantine->Suspected()));
-  m_node.m_metrics.Set("store_on_duty", m_peers->IsOnDuty() ? 1 : 0);
+  m_node.m_metrics.Set("store_on_duty", m_peers->IsPoller() ? 1 : 0);
 }
 
 void
@@ -421,8 +421,8 @@
                         { { "upstream", upstream } });
   }
   ReleaseHeld();
-  const bool onDuty = m_peers->IsOnDuty();
-  const bool byPlace = m_peers->IsOnDutyByPlace();
+  const bool onDuty = m_peers->IsPoller();
+  const bool byPlace = m_peers->IsPollerByHash();
   m_config->SetDuty(onDuty, byPlace);
   m_members->SetDuty(onDuty, byPlace);
   m_peers->SetStoreView(StoreView());
--- a/packages/entry/src/Peers.cpp
+++ b/packages/entry/src/Peers.cpp
@@ -58,33 +58,33 @@
   out.m_heartbeatEvery = kTalkEvery;
   out.m_heartbeatEachPeer = kTalkEachPeer;
   out.m_deadAfterMissed = kDeadAfterMissed;
-  out.m_mostToAll = kMostToAll;
+  out.m_maxRoundToAll = kMostToAll;
   return out;
 }
 
 std::optional<relay::UpstreamRole>
-PartOf(membership::EnginePart aPart)
+PartOf(membership::EngineRole aPart)
 {
   switch (aPart) {
-    case membership::EnginePart::Changing:
+    case membership::EngineRole::Changing:
       return std::nullopt;
-    case membership::EnginePart::Reads:
+    case membership::EngineRole::Prefilling:
       return relay::UpstreamRole::Prefill;
-    case membership::EnginePart::Generates:
+    case membership::EngineRole::Decoding:
       break;
   }
   return relay::UpstreamRole::Decode;
 }
 
-membership::EnginePart
+membership::EngineRole
 DigestOf(std::optional<relay::UpstreamRole> aPart)
 {
   if (!aPart) {
-    return membership::EnginePart::Changing;
+    return membership::EngineRole::Changing;
   }
   return *aPart == relay::UpstreamRole::Prefill
-           ? membership::EnginePart::Reads
-           : membership::EnginePart::Generates;
+           ? membership::EngineRole::Prefilling
+           : membership::EngineRole::Decoding;
 }
 
 } // namespace
@@ -142,20 +142,20 @@
     out.m_leavingUpstreams.push_back(upstream);
   }
   out.m_store = m_storeView;
-  out.m_apart = m_node.m_fleet.ReportedDisaggregatedServices();
-  out.m_endings = m_endings;
-  out.m_heldCalls = m_heldCalls;
+  out.m_disaggregatedServices = m_node.m_fleet.ReportedDisaggregatedServices();
+  out.m_crashes = m_crashes;
+  out.m_quarantineFingerprint = m_quarantineFingerprint;
   for (const relay::RoleUpdate& news : m_partNews) {
-    out.m_parts.push_back(
+    out.m_roles.push_back(
       { relay::Fleet::ShortHash(news.m_engine), DigestOf(news.m_role) });
   }
   const Duration since = m_roster.HeartbeatInterval() * kTellReadsTimes;
   for (const relay::CachedSegment& kept :
        m_node.m_fleet.OwnPrefills(m_node.Now(), since)) {
-    if (out.m_reads.size() == kMostReads) {
+    if (out.m_prefills.size() == kMostReads) {
       break;
     }
-    out.m_reads.push_back({ kept.m_segment, kept.m_member });
+    out.m_prefills.push_back({ kept.m_segment, kept.m_member });
   }
   return out;
 }
@@ -187,7 +187,7 @@
     Send(whole, aAddresses);
     return;
   }
-  const std::set<std::string> hall = m_roster.NearAddresses();
+  const std::set<std::string> hall = m_roster.OwnDataCentreAddresses();
   std::set<std::string> near;
   std::set<std::string> far;
   for (const std::string& address : aAddresses) {
@@ -221,7 +221,7 @@
   }
 }
 
-membership::StoreDuty
+membership::StorePollers
 Peers::Duty() const
 {
   const EntrySettings& self = m_node.m_settings;
@@ -229,15 +229,15 @@
 }
 
 bool
-Peers::IsOnDuty() const
+Peers::IsPoller() const
 {
-  return Duty().IsOnDuty(m_node.Now());
+  return Duty().IsPoller(m_node.Now());
 }
 
 bool
-Peers::IsOnDutyByPlace() const
+Peers::IsPollerByHash() const
 {
-  return Duty().IsOnDutyByPlace();
+  return Duty().IsPollerByHash();
 }
 
 std::optional<Instant>
@@ -285,7 +285,7 @@
 void
 Peers::TellHall()
 {
-  SendTo(m_roster.NearAddresses());
+  SendTo(m_roster.OwnDataCentreAddresses());
 }
 
 void
@@ -310,11 +310,11 @@
 }
 
 void
-Peers::SetEndings(std::vector<membership::EndingDigest> aEndings,
+Peers::SetEndings(std::vector<membership::CrashDigest> aEndings,
                   std::optional<std::uint64_t> aHeldCalls)
 {
-  m_endings = std::move(aEndings);
-  m_heldCalls = aHeldCalls;
+  m_crashes = std::move(aEndings);
+  m_quarantineFingerprint = aHeldCalls;
 }
 
 Duration
@@ -343,7 +343,8 @@
 Peers::PickHoldingOther(std::uint64_t aHeldCalls) const
 {
   return PickPeer([aHeldCalls](const membership::Heartbeat& aPeer) {
-    return aPeer.m_heldCalls && *aPeer.m_heldCalls != aHeldCalls;
+    return aPeer.m_quarantineFingerprint &&
+           *aPeer.m_quarantineFingerprint != aHeldCalls;
   });
 }
 
@@ -351,7 +352,7 @@
 Peers::PickHoldingAny() const
 {
   return PickPeer([](const membership::Heartbeat& aPeer) {
-    return aPeer.m_heldCalls.has_value();
+    return aPeer.m_quarantineFingerprint.has_value();
   });
 }
 
@@ -381,23 +382,23 @@
     return;
   }
   std::vector<relay::MemberRoleUpdate> news;
-  for (const membership::PartDigest& digest : heartbeat->m_parts) {
+  for (const membership::RoleDigest& digest : heartbeat->m_roles) {
     news.push_back({ digest.m_engine, PartOf(digest.m_part) });
   }
-  for (const membership::ReadDigest& digest : heartbeat->m_reads) {
+  for (const membership::PrefillDigest& digest : heartbeat->m_prefills) {
     m_node.m_fleet.NoteCached({ digest.m_part, digest.m_engine }, m_node.Now());
   }
   if (heartbeat->m_store) {
     TellStoreView(*heartbeat->m_store);
   }
-  if (!heartbeat->m_endings.empty()) {
-    m_endingsTold.emit(heartbeat->m_endings);
+  if (!heartbeat->m_crashes.empty()) {
+    m_endingsTold.emit(heartbeat->m_crashes);
   }
   m_counted.insert(heartbeat->m_instance);
   TakeLoads(*heartbeat);
   m_node.m_fleet.SetRoleUpdates(heartbeat->m_instance, std::move(news));
   m_node.m_fleet.SetDisaggregatedServices(heartbeat->m_instance,
-                                          heartbeat->m_apart);
+                                          heartbeat->m_disaggregatedServices);
   Handle(membership::HeartbeatArrived{ std::move(*heartbeat) });
 }
 
@@ -406,7 +407,8 @@
 {
   std::vector<relay::PeerLoad> loads;
   for (const membership::EngineDigest& digest : aHeartbeat.m_engines) {
-    loads.push_back({ digest.m_engine, digest.m_running, digest.m_work });
+    loads.push_back(
+      { digest.m_engine, digest.m_running, digest.m_tokensToPrefill });
   }
   if (aHeartbeat.m_tellsHall) {
     m_node.m_fleet.SetPeerLoads(kHallPrefix + aHeartbeat.m_hall,
@@ -440,7 +442,7 @@
 {
   // If other instances still read the store, it is available and only that peer
   // is cut off, so upstreams removed from the list have not expired.
-  aView.m_lost = aView.m_lost && !Duty().HearsOfStore(m_node.Now());
+  aView.m_lost = aView.m_lost && !Duty().HearsWorkingPoller(m_node.Now());
   m_storeViews.emit(aView);
   m_generations.Note(std::max(aView.m_config, aView.m_members).m_generation,
                      "a peer");
--- a/packages/entry/src/Peers.h
+++ b/packages/entry/src/Peers.h
@@ -45,7 +45,7 @@
   /** Sets the recent crashes of upstreams during calls that this instance saw,
    * and the fingerprint of the calls that it has quarantined (std::nullopt
    * while it has not learned them). Both are sent with each heartbeat. */
-  void SetEndings(std::vector<membership::EndingDigest> aEndings,
+  void SetEndings(std::vector<membership::CrashDigest> aEndings,
                   std::optional<std::uint64_t> aHeldCalls);
   /** How long an update must be announced so that each peer of the own data
    * centre receives it several times. */
@@ -70,10 +70,10 @@
   /** Returns true if this instance is one of the few of its data centre that
    * poll the store. Always true if it receives no heartbeat from an instance
    * whose reads succeed. */
-  bool IsOnDuty() const;
+  bool IsPoller() const;
   /** Returns true if this instance polls the store by its place in the order of
    * pollers alone, whatever the others report. */
-  bool IsOnDutyByPlace() const;
+  bool IsPollerByHash() const;
   /** See `membership::StorePollers::ReadsSince`. */
   std::optional<Instant> HallReadsSince(std::string_view aHall,
                                         StoreGeneration aGeneration) const;
@@ -102,7 +102,7 @@
   }
   /** Emitted when another instance reports crashes of upstreams during calls.
    */
-  sigc::signal<void(std::span<const membership::EndingDigest>)>& SignalEndings()
+  sigc::signal<void(std::span<const membership::CrashDigest>)>& SignalEndings()
   {
     return m_endingsTold;
   }
@@ -111,7 +111,7 @@
   sigc::signal<void(const UpstreamLife&)>& SignalLeaving() { return m_leaves; }
 
 private:
-  membership::StoreDuty Duty() const;
+  membership::StorePollers Duty() const;
   void TellStoreView(membership::StoreView aView);
   void Handle(const membership::RosterEvent& aEvent);
   void OnDatagram(std::string_view aBytes);
@@ -153,8 +153,8 @@
   relay::LeavingUpstreams m_news;
   membership::StoreView m_storeView;
   std::vector<relay::RoleUpdate> m_partNews;
-  std::vector<membership::EndingDigest> m_endings;
-  std::optional<std::uint64_t> m_heldCalls;
+  std::vector<membership::CrashDigest> m_crashes;
+  std::optional<std::uint64_t> m_quarantineFingerprint;
   std::set<std::string> m_counted; ///< Instances whose loads are counted.
   /** Loads of the instances of this data centre. */
   relay::DataCentreLoads m_hallLoads;
@@ -169,7 +169,7 @@
   bool m_hasListed = false;
   sigc::signal<void(bool)> m_listed;
   sigc::signal<void(const UpstreamLife&)> m_leaves;
-  sigc::signal<void(std::span<const membership::EndingDigest>)> m_endingsTold;
+  sigc::signal<void(std::span<const membership::CrashDigest>)> m_endingsTold;
   sigc::signal<void(const membership::StoreView&)> m_storeViews;
 };
 
--- a/packages/entry/src/QuarantineService.cpp
+++ b/packages/entry/src/QuarantineService.cpp
@@ -55,7 +55,7 @@
             aPeers,
             aPeerRows,
             m_quarantine,
-            [this](const quarantine::Ending& aEnding,
+            [this](const quarantine::CrashRecord& aEnding,
                    Duration aAge,
                    std::string_view aFrom) { Take(aEnding, aAge, aFrom); })
 {
@@ -87,16 +87,16 @@
 }
 
 std::optional<Duration>
-QuarantineService::HeldFor(const quarantine::CallDigest& aCall) const
+QuarantineService::QuarantineTimeLeft(const quarantine::CallDigest& aCall) const
 {
-  if (m_quarantine.IsHeld(aCall)) {
-    return m_quarantine.HeldFor(aCall, m_node.Now());
+  if (m_quarantine.IsQuarantined(aCall)) {
+    return m_quarantine.QuarantineTimeLeft(aCall, m_node.Now());
   }
   // Broken runs count as crashes until it is known whether the upstream
   // crashed: the next run of the call could crash a further upstream.
   const std::size_t ends =
     m_quarantine.Ends(aCall) + m_broken.Unresolved(aCall);
-  if (ends >= quarantine::Quarantine::kEndsToHold) {
+  if (ends >= quarantine::Quarantine::kCrashesToQuarantine) {
     return quarantine::BrokenRuns::kUnresolvedFor;
   }
   return std::nullopt;
@@ -125,7 +125,7 @@
 QuarantineService::MayRepeat(const quarantine::CallDigest& aCall) const
 {
   return m_quarantine.Ends(aCall) + m_broken.Unresolved(aCall) <
-         quarantine::Quarantine::kEndsToCare;
+         quarantine::Quarantine::kCrashesToStopRetries;
 }
 
 void
@@ -216,7 +216,7 @@
 void
 QuarantineService::NoteLaterLife(const std::string& aUpstream)
 {
-  for (const UpstreamLife& life : m_broken.LivesOf(aUpstream)) {
+  for (const UpstreamLife& life : m_broken.UnresolvedIncarnations(aUpstream)) {
     NoteEnded(life, "later incarnation listed");
   }
 }
@@ -225,8 +225,8 @@
 QuarantineService::NoteEnded(const UpstreamLife& aUpstream,
                              std::string_view aFrom)
 {
-  const std::uint64_t life = quarantine::LifeHash(aUpstream);
-  std::vector<quarantine::Ending> endings;
+  const std::uint64_t life = quarantine::IncarnationHash(aUpstream);
+  std::vector<quarantine::CrashRecord> endings;
   for (const auto& [call, brokeAt] : m_broken.NoteEnded(aUpstream)) {
     endings.push_back({ call, life });
     Take(endings.back(), m_node.Now() - brokeAt, aFrom);
@@ -248,7 +248,7 @@
 QuarantineService::NoteServed(const Send& aSend)
 {
   m_broken.NoteServed(aSend.m_call);
-  std::vector<quarantine::Ending> cleared =
+  std::vector<quarantine::CrashRecord> cleared =
     m_quarantine.NoteServed(aSend.m_call);
   if (cleared.empty()) {
     return;
@@ -264,7 +264,7 @@
 }
 
 void
-QuarantineService::Take(const quarantine::Ending& aEnding,
+QuarantineService::Take(const quarantine::CrashRecord& aEnding,
                         Duration aAge,
                         std::string_view aFrom)
 {
@@ -279,7 +279,8 @@
   }
   if (change == quarantine::Change::Suspected &&
       aFrom == QuarantineShare::kFromPeer &&
-      m_quarantine.Ends(aEnding.m_call) < quarantine::Quarantine::kEndsToCare) {
+      m_quarantine.Ends(aEnding.m_call) <
+        quarantine::Quarantine::kCrashesToStopRetries) {
     // The peer that observed the crash has logged it. All calls that ran on the
     // upstream are reported, so logging them at each instance would be too
     // much.
@@ -289,7 +290,7 @@
     held ? observe::LogLevel::Warning : observe::LogLevel::Info,
     NameOf(change),
     { { "call", quarantine::FormatDigest(aEnding.m_call) },
-      { "life", fmt::format("{:016x}", aEnding.m_life) },
+      { "life", fmt::format("{:016x}", aEnding.m_incarnationHash) },
       { "ends", static_cast<std::int64_t>(m_quarantine.Ends(aEnding.m_call)) },
       { "ageMs", aAge.count() },
       { "from", std::string(aFrom) } });
@@ -304,7 +305,7 @@
   }
   m_broken.Tick(now);
   std::erase_if(m_triedAt, [this](const auto& aEntry) {
-    return !m_quarantine.IsHeld(aEntry.first);
+    return !m_quarantine.IsQuarantined(aEntry.first);
   });
   for (const quarantine::CallDigest& call : m_quarantine.Tick(now)) {
     m_node.m_log->Write(observe::LogLevel::Info,
--- a/packages/entry/src/QuarantineService.h
+++ b/packages/entry/src/QuarantineService.h
@@ -38,7 +38,8 @@
   bool KnowsAny() const;
   /** Returns how long the call stays quarantined, or std::nullopt if it may
    * run. */
-  std::optional<Duration> HeldFor(const quarantine::CallDigest& aCall) const;
+  std::optional<Duration> QuarantineTimeLeft(
+    const quarantine::CallDigest& aCall) const;
   /** Returns whether a quarantined call is to run all the same, as a trial that
    * shows whether its quarantine is justified. If so, the trial run counts as
    * started. */
@@ -95,7 +96,7 @@
   void NoteEnded(const UpstreamLife& aUpstream, std::string_view aFrom);
   /** Adds one crash record, seen first `aAge` ago, to the quarantine, and logs
    * the change. `aFrom` names its source in the log. */
-  void Take(const quarantine::Ending& aEnding,
+  void Take(const quarantine::CrashRecord& aEnding,
             Duration aAge,
             std::string_view aFrom);
 
--- a/packages/entry/src/QuarantineShare.cpp
+++ b/packages/entry/src/QuarantineShare.cpp
@@ -30,20 +30,20 @@
 /** Most crash records in the answer to a peer that requests them. */
 constexpr std::size_t kMostToPeer = 1000;
 
-membership::EndingDigest
-DigestFor(const quarantine::Ending& aEnding)
+membership::CrashDigest
+DigestFor(const quarantine::CrashRecord& aEnding)
 {
   return { aEnding.m_call.m_high,
            aEnding.m_call.m_low,
-           aEnding.m_life,
+           aEnding.m_incarnationHash,
            aEnding.m_cleared };
 }
 
-quarantine::Ending
-EndingFrom(const membership::EndingDigest& aDigest)
+quarantine::CrashRecord
+EndingFrom(const membership::CrashDigest& aDigest)
 {
   return { { aDigest.m_callHigh, aDigest.m_callLow },
-           aDigest.m_life,
+           aDigest.m_incarnationHash,
            aDigest.m_cleared };
 }
 
@@ -69,7 +69,7 @@
 {
   m_began = m_node.Now();
   m_peers.SignalEndings().connect(
-    [this](std::span<const membership::EndingDigest> aEndings) {
+    [this](std::span<const membership::CrashDigest> aEndings) {
       TakeTold(aEndings);
     });
   m_peers.SignalListed().connect([this](bool aAny) {
@@ -90,7 +90,7 @@
 }
 
 void
-QuarantineShare::Tell(std::vector<quarantine::Ending> aEndings)
+QuarantineShare::Tell(std::vector<quarantine::CrashRecord> aEndings)
 {
   // Calls with the most crashes come first, as a heartbeat has room for
   // `kMostNews` records only.
@@ -100,7 +100,7 @@
                      return m_quarantine.Ends(aLeft.m_call) >
                             m_quarantine.Ends(aRight.m_call);
                    });
-  for (const quarantine::Ending& ending : aEndings) {
+  for (const quarantine::CrashRecord& ending : aEndings) {
     m_news.push_back({ m_node.Now(), ending });
   }
   TellNews();
@@ -114,12 +114,12 @@
   while (!m_news.empty() && m_news.front().m_at < since) {
     m_news.pop_front();
   }
-  std::vector<membership::EndingDigest> told;
+  std::vector<membership::CrashDigest> told;
   for (const News& news : m_news) {
     if (told.size() == kMostNews) {
       break;
     }
-    told.push_back(DigestFor(news.m_ending));
+    told.push_back(DigestFor(news.m_record));
   }
   m_peers.SetEndings(std::move(told),
                      m_known ? std::optional(m_quarantine.Fingerprint())
@@ -127,9 +127,9 @@
 }
 
 void
-QuarantineShare::TakeTold(std::span<const membership::EndingDigest> aEndings)
+QuarantineShare::TakeTold(std::span<const membership::CrashDigest> aEndings)
 {
-  for (const membership::EndingDigest& digest : aEndings) {
+  for (const membership::CrashDigest& digest : aEndings) {
     m_take(EndingFrom(digest), {}, kFromPeer);
   }
 }
@@ -137,7 +137,8 @@
 void
 QuarantineShare::TakeText(const std::string& aText, std::string_view aFrom)
 {
-  const auto told = quarantine::ParseEndings(aText, net::EventLoop::WallNow());
+  const auto told =
+    quarantine::ParseCrashRecords(aText, net::EventLoop::WallNow());
   if (!told) {
     m_node.m_log->Write(
       observe::LogLevel::Error,
@@ -145,8 +146,8 @@
       { { "from", std::string(aFrom) }, { "fault", told.error() } });
     return;
   }
-  for (const quarantine::ToldEnding& ending : *told) {
-    m_take(ending.m_ending, ending.m_age, aFrom);
+  for (const quarantine::ReportedCrash& ending : *told) {
+    m_take(ending.m_record, ending.m_age, aFrom);
   }
 }
 
@@ -210,8 +211,8 @@
 std::string
 QuarantineShare::Text(std::size_t aMost) const
 {
-  return quarantine::FormatEndings(m_quarantine.Snapshot(m_node.Now(), aMost),
-                                   net::EventLoop::WallNow());
+  return quarantine::FormatCrashRecords(
+    m_quarantine.Snapshot(m_node.Now(), aMost), net::EventLoop::WallNow());
 }
 
 relay::TableSlice
--- a/packages/entry/src/QuarantineShare.h
+++ b/packages/entry/src/QuarantineShare.h
@@ -25,8 +25,8 @@
 
   /** Receives a crash record from a peer or the store, its greatest possible
    * age, and the source for the log. */
-  using Take =
-    sigc::slot<void(const quarantine::Ending&, Duration, std::string_view)>;
+  using Take = sigc::slot<
+    void(const quarantine::CrashRecord&, Duration, std::string_view)>;
 
   /** Precondition: all arguments outlive this object. */
   QuarantineShare(EntryNode& aNode,
@@ -42,7 +42,7 @@
   bool IsKnown() const { return m_known; }
   /** Announces crash records, or clearings, that this instance has observed to
    * all live peers at once, and with the next heartbeats. */
-  void Tell(std::vector<quarantine::Ending> aEndings);
+  void Tell(std::vector<quarantine::CrashRecord> aEndings);
   /** Must be called several times a second. */
   void Tick();
 
@@ -51,13 +51,13 @@
   struct News
   {
     Instant m_at;
-    quarantine::Ending m_ending;
+    quarantine::CrashRecord m_record;
   };
 
   /** Sets the records that the heartbeats contain, without those that have been
    * announced for long enough. */
   void TellNews();
-  void TakeTold(std::span<const membership::EndingDigest> aEndings);
+  void TakeTold(std::span<const membership::CrashDigest> aEndings);
   void TakeText(const std::string& aText, std::string_view aFrom);
   void NoteKnown(std::string_view aFrom);
   /** Requests the records of a peer whose quarantined calls differ, or reads
--- a/packages/entry/src/RelayCall.cpp
+++ b/packages/entry/src/RelayCall.cpp
@@ -169,7 +169,7 @@
 void
 RelayCall::Do(const relay::FindPlace& aAction)
 {
-  if (const auto held = HeldFor()) {
+  if (const auto held = QuarantineTimeLeft()) {
     LogQuarantined(*held);
     Handle(relay::NoPlace{ *held, relay::NoPlace::Cause::Quarantined });
     return;
@@ -291,7 +291,7 @@
     NoteRepeat();
   }
   const relay::Member* member = m_node.m_fleet.Find(aAction.m_upstream);
-  if (member == nullptr || member->m_leaving || HeldFor()) {
+  if (member == nullptr || member->m_leaving || QuarantineTimeLeft()) {
     // While another engine prefilled the prompt, the upstream left, or the call
     // was quarantined because upstreams crashed during it. Nothing has been
     // sent to this upstream, so the attempt counts as unsent.
--- a/packages/entry/src/RelayCall.h
+++ b/packages/entry/src/RelayCall.h
@@ -109,7 +109,7 @@
   const quarantine::CallDigest& Digest();
   /** Returns how long the call stays quarantined (sent to no upstream), or
    * std::nullopt if it may run. May start a trial run of the call. */
-  std::optional<Duration> HeldFor();
+  std::optional<Duration> QuarantineTimeLeft();
   /** Returns whether the quarantine allows a further run of the call. */
   bool MayRepeat();
   /** Reports the end of the present send's connection to the quarantine: a
--- a/packages/entry/src/RelayCallQuarantine.cpp
+++ b/packages/entry/src/RelayCallQuarantine.cpp
@@ -21,13 +21,13 @@
 }
 
 std::optional<Duration>
-RelayCall::HeldFor()
+RelayCall::QuarantineTimeLeft()
 {
   QuarantineService& quarantine = *m_start.m_quarantine;
   if (m_tries || !quarantine.KnowsAny()) {
     return std::nullopt;
   }
-  const auto held = quarantine.HeldFor(Digest());
+  const auto held = quarantine.QuarantineTimeLeft(Digest());
   m_tries = held && quarantine.MayTry(Digest());
   return m_tries ? std::nullopt : held;
 }
--- a/packages/membership/bench/StoreDutyBench.cpp
+++ b/packages/membership/bench/StoreDutyBench.cpp
@@ -1,6 +1,6 @@
-// Measures `StoreDuty::HearsOfStore`, which runs for every heartbeat of a peer
-// whose reads of the store fail. Its cost must grow linearly with the number of
-// peers, not with its square.
+// Measures `StorePollers::HearsWorkingPoller`, which runs for every heartbeat
+// of a peer whose reads of the store fail. Its cost must grow linearly with the
+// number of peers, not with its square.
 
 #include <algorithm>
 #include <benchmark/benchmark.h>
@@ -19,7 +19,7 @@
  * query has to examine every other peer.
  */
 Roster
-DutyLost(std::int64_t aPeers)
+RosterWithPollersLost(std::int64_t aPeers)
 {
   Roster roster("self");
   std::map<std::string, std::vector<std::uint64_t>> hashes;
@@ -37,7 +37,7 @@
     heartbeat.m_hall = "hall-" + std::to_string(i % kHalls);
     const std::vector<std::uint64_t>& ofHall = hashes[heartbeat.m_hall];
     const bool lost =
-      Hash64(heartbeat.m_instance) <= ofHall[StoreDuty::kInHall];
+      Hash64(heartbeat.m_instance) <= ofHall[StorePollers::kInHall];
     heartbeat.m_store = StoreView{ { 1, 1 }, { 1, 1 }, lost };
     roster.Handle(HeartbeatArrived{ heartbeat }, kNow);
   }
@@ -45,16 +45,16 @@
 }
 
 void
-HearsOfStore(benchmark::State& aState)
+HearsWorkingPoller(benchmark::State& aState)
 {
-  const Roster roster = DutyLost(aState.range(0));
-  const StoreDuty duty(roster, { "self", "hall-0", false });
+  const Roster roster = RosterWithPollersLost(aState.range(0));
+  const StorePollers duty(roster, { "self", "hall-0", false });
   for (auto _ : aState) {
-    benchmark::DoNotOptimize(duty.HearsOfStore(kNow));
+    benchmark::DoNotOptimize(duty.HearsWorkingPoller(kNow));
   }
   aState.SetComplexityN(aState.range(0));
 }
-BENCHMARK(HearsOfStore)->Arg(30)->Arg(100)->Arg(300)->Complexity();
+BENCHMARK(HearsWorkingPoller)->Arg(30)->Arg(100)->Arg(300)->Complexity();
 
 } // namespace
 } // namespace ridgeferry::membership
--- a/packages/membership/include/ridgeferry/membership/Roster.h
+++ b/packages/membership/include/ridgeferry/membership/Roster.h
@@ -29,7 +29,7 @@
    * Prompt tokens of the sender's own requests that the engine still has to
    * prefill.
    */
-  std::int32_t m_work = 0;
+  std::int32_t m_tokensToPrefill = 0;
   bool operator==(const EngineDigest&) const = default;
 };
 
@@ -37,41 +37,41 @@
  * Role of an engine, as announced by the instance that ordered a change of the
  * role.
  */
-enum class EnginePart : std::uint8_t
+enum class EngineRole : std::uint8_t
 {
   Changing = 0, ///< The engine changes its role and accepts no new requests.
-  Reads = 1,
-  Generates = 2,
+  Prefilling = 1,
+  Decoding = 2,
 };
 
 /** Role of an engine, gossiped because the platform's list reports it later. */
-struct PartDigest
+struct RoleDigest
 {
   std::uint32_t m_engine = 0; ///< Hash of the engine's id.
-  EnginePart m_part = EnginePart::Changing;
-  bool operator==(const PartDigest&) const = default;
+  EngineRole m_part = EngineRole::Changing;
+  bool operator==(const RoleDigest&) const = default;
 };
 
 /** A shared prompt prefix segment that an engine was ordered to prefill. */
-struct ReadDigest
+struct PrefillDigest
 {
   std::uint32_t m_part = 0;
   std::uint32_t m_engine = 0; ///< Hash of the engine's id.
-  bool operator==(const ReadDigest&) const = default;
+  bool operator==(const PrefillDigest&) const = default;
 };
 
 /**
  * Reports that an upstream crashed while it ran a call of the sender, or, with
  * `m_cleared`, that the call has completed successfully since.
  */
-struct EndingDigest
+struct CrashDigest
 {
   /** First half of the digest of the call's content. */
   std::uint64_t m_callHigh = 0;
   std::uint64_t m_callLow = 0;
-  std::uint64_t m_life = 0; ///< Hash of the upstream's incarnation.
-  bool m_cleared = false;   ///< The crash no longer counts against the call.
-  bool operator==(const EndingDigest&) const = default;
+  std::uint64_t m_incarnationHash = 0; ///< Hash of the upstream's incarnation.
+  bool m_cleared = false; ///< The crash no longer counts against the call.
+  bool operator==(const CrashDigest&) const = default;
 };
 
 /**
@@ -124,26 +124,26 @@
    */
   bool m_tellsHall = false;
   /** Engines whose role the sender is changing. */
-  std::vector<PartDigest> m_parts;
+  std::vector<RoleDigest> m_roles;
   /** Prefills that the sender ordered recently. */
-  std::vector<ReadDigest> m_reads;
+  std::vector<PrefillDigest> m_prefills;
   /**
    * Hashes of the services whose engines the sender found unable to prefill
    * prompts while they decode.
    */
-  std::vector<std::uint32_t> m_apart;
+  std::vector<std::uint32_t> m_disaggregatedServices;
   /**
    * How far the sender has read the store; std::nullopt if it follows no
    * tables.
    */
   std::optional<StoreView> m_store;
   /** Crashes that the sender observed recently. */
-  std::vector<EndingDigest> m_endings;
+  std::vector<CrashDigest> m_crashes;
   /**
    * Fingerprint of the set of calls that the sender holds in quarantine;
    * std::nullopt if the sender has not learned yet which calls are quarantined.
    */
-  std::optional<std::uint64_t> m_heldCalls;
+  std::optional<std::uint64_t> m_quarantineFingerprint;
   bool operator==(const Heartbeat&) const = default;
 };
 
@@ -214,20 +214,20 @@
    * Maximum time between two rounds of heartbeats to all peers. If a round to
    * all peers takes longer, heartbeats are sent by data centre: peers in the
    * own data centre receive one as often as its size allows, peers in other
-   * data centres one every `m_farEvery`. In addition, each round sends the
-   * summed loads of the own data centre to one instance of each other data
-   * centre, so that together the instances of a data centre keep every instance
-   * elsewhere up to date.
+   * data centres one every `m_remoteHeartbeatEvery`. In addition, each round
+   * sends the summed loads of the own data centre to one instance of each other
+   * data centre, so that together the instances of a data centre keep every
+   * instance elsewhere up to date.
    */
-  Duration m_mostToAll = Duration::max();
-  Duration m_farEvery{ 2400 };
+  Duration m_maxRoundToAll = Duration::max();
+  Duration m_remoteHeartbeatEvery{ 2400 };
   /**
    * Number of missed heartbeats after which a peer counts as dead for the
-   * sharing of limits and for ranks. `m_farDeadAfterMissed` applies instead to
-   * peers in other data centres while heartbeats are sent by data centre.
+   * sharing of limits and for ranks. `m_remoteDeadAfterMissed` applies instead
+   * to peers in other data centres while heartbeats are sent by data centre.
    */
   int m_deadAfterMissed = 4;
-  int m_farDeadAfterMissed = 4;
+  int m_remoteDeadAfterMissed = 4;
   /** Time without a heartbeat after which an unlisted peer is removed. */
   Duration m_forgetAfter{ 60'000 };
 };
@@ -235,7 +235,7 @@
 struct PeerView
 {
   Heartbeat m_last;
-  Instant m_heardAt;
+  Instant m_lastHeartbeatAt;
   bool m_alive = false;
   /**
    * Hash of the instance's name; orders the instances for the choice of store
@@ -284,15 +284,15 @@
   Duration IntervalOf(const PeerView& aPeer) const;
   /**
    * Returns whether other data centres receive summed loads; see
-   * `RosterTimes::m_mostToAll`.
+   * `RosterTimes::m_maxRoundToAll`.
    */
   bool TellsByHall() const;
-  bool IsNear(const PeerView& aPeer) const;
+  bool IsInOwnDataCentre(const PeerView& aPeer) const;
   /**
    * Returns the addresses of all known peers in the own data centre, dead ones
    * included.
    */
-  std::set<std::string> NearAddresses() const;
+  std::set<std::string> OwnDataCentreAddresses() const;
   /** Returns the addresses of live peers that are not leaving. */
   std::vector<std::string> LiveAddresses() const;
 
@@ -303,11 +303,11 @@
                    Instant aNow,
                    Actions& aActions);
   void OnTick(Instant aNow, Actions& aActions);
-  void ForgetSilent(Instant aNow);
-  void TellAll(Actions& aActions);
+  void ExpirePeers(Instant aNow);
+  void SendToAll(Actions& aActions);
   void TellByHall(Instant aNow, Actions& aActions);
   void TellOtherHalls(Actions& aActions);
-  void CountNear();
+  void CountOwnDataCentre();
   Duration TimeForAll() const;
 
   std::string m_hall;
@@ -316,13 +316,13 @@
   std::map<std::string, PeerView, std::less<>> m_peers;
   std::map<std::string, std::string, std::less<>> m_listed;
   std::optional<Instant> m_nextHeartbeat;
-  std::optional<Instant> m_nextFar;
+  std::optional<Instant> m_nextRemoteHeartbeat;
   /** Number of peers in the own data centre. */
-  std::ptrdiff_t m_near = 0;
+  std::ptrdiff_t m_peersInOwnDataCentre = 0;
   /**
    * Selects the instance of each other data centre that receives the next sums.
    */
-  std::size_t m_turn = 0;
+  std::size_t m_recipientTurn = 0;
 };
 
 } // namespace ridgeferry::membership
--- a/packages/membership/include/ridgeferry/membership/StoreDuty.h
+++ b/packages/membership/include/ridgeferry/membership/StoreDuty.h
@@ -8,7 +8,7 @@
 namespace ridgeferry::membership {
 
 /** The instance that asks whether it is a poller of the store. */
-struct DutyAsker
+struct PollerIdentity
 {
   std::string m_instance;
   std::string m_hall;
@@ -23,7 +23,7 @@
  *
  * Reads the roster; pure, not thread-safe.
  */
-class StoreDuty
+class StorePollers
 {
 public:
   static constexpr std::size_t kInHall = 2;
@@ -32,16 +32,16 @@
    * arrived for its state of the store to count: a single lost heartbeat is
    * chance, three lost in a row are not.
    */
-  static constexpr int kFreshTalks = 3;
+  static constexpr int kFreshHeartbeats = 3;
 
   /** `aRoster` must outlive this object. */
-  StoreDuty(const Roster& aRoster, DutyAsker aAsker);
+  StorePollers(const Roster& aRoster, PollerIdentity aAsker);
 
   /**
    * Returns whether recent heartbeats have arrived from at least one other
    * poller whose reads of the store succeed.
    */
-  bool HearsOfStore(Instant aNow) const;
+  bool HearsWorkingPoller(Instant aNow) const;
   /**
    * Returns since when some instance of the data centre `aHall` has read the
    * store without a failure. Only instances count whose heartbeats are recent
@@ -53,15 +53,15 @@
                                     Instant aNow) const;
   /**
    * Returns whether the asking instance must poll the store: because it is one
-   * of the pollers of its data centre, or because `HearsOfStore` finds no other
-   * poller whose reads succeed.
+   * of the pollers of its data centre, or because `HearsWorkingPoller` finds no
+   * other poller whose reads succeed.
    */
-  bool IsOnDuty(Instant aNow) const;
+  bool IsPoller(Instant aNow) const;
   /**
    * Returns whether the asking instance is one of the pollers of its data
    * centre.
    */
-  bool IsOnDutyByPlace() const;
+  bool IsPollerByHash() const;
 
 private:
   bool IsFresh(const PeerView& aPeer, Instant aNow) const;
@@ -75,10 +75,10 @@
    * (`membership_bench`). It runs for every heartbeat of a peer whose reads
    * fail: some 300 a second after all instances have lost the store.
    */
-  Bounds DutyBounds() const;
+  Bounds PollerBounds() const;
 
   const Roster& m_roster;
-  DutyAsker m_asker;
+  PollerIdentity m_asker;
   std::uint64_t m_hash; ///< Hash of the asking instance's name.
 };
 
--- a/packages/membership/src/Roster.cpp
+++ b/packages/membership/src/Roster.cpp
@@ -10,7 +10,7 @@
   : m_hall(std::move(aHall))
   , m_instance(std::move(aInstance))
   , m_times(aTimes)
-  , m_turn(Hash64(m_instance))
+  , m_recipientTurn(Hash64(m_instance))
 {
 }
 
@@ -53,12 +53,12 @@
     aActions.emplace_back(IncarnationEnded{ aHeartbeat.m_instance, known });
   }
   peer.m_last = aHeartbeat;
-  peer.m_heardAt = aNow;
+  peer.m_lastHeartbeatAt = aNow;
   if (known == 0) {
     peer.m_hash = Hash64(aHeartbeat.m_instance);
   }
   if (moved || known == 0) {
-    CountNear();
+    CountOwnDataCentre();
   }
   peer.m_alive = true;
   for (const UpstreamLife& upstream : aHeartbeat.m_leavingUpstreams) {
@@ -69,7 +69,7 @@
 void
 Roster::OnTick(Instant aNow, Actions& aActions)
 {
-  ForgetSilent(aNow);
+  ExpirePeers(aNow);
   if (aNow < m_nextHeartbeat.value_or(aNow)) {
     return;
   }
@@ -77,19 +77,20 @@
   if (TellsByHall()) {
     TellByHall(aNow, aActions);
   } else {
-    TellAll(aActions);
+    SendToAll(aActions);
   }
 }
 
 void
-Roster::ForgetSilent(Instant aNow)
+Roster::ExpirePeers(Instant aNow)
 {
   const bool byHall = TellsByHall();
   for (auto it = m_peers.begin(); it != m_peers.end();) {
     PeerView& peer = it->second;
-    const Duration silence = aNow - peer.m_heardAt;
-    const int missed = byHall && !IsNear(peer) ? m_times.m_farDeadAfterMissed
-                                               : m_times.m_deadAfterMissed;
+    const Duration silence = aNow - peer.m_lastHeartbeatAt;
+    const int missed = byHall && !IsInOwnDataCentre(peer)
+                         ? m_times.m_remoteDeadAfterMissed
+                         : m_times.m_deadAfterMissed;
     if (silence >= IntervalOf(peer) * missed) {
       peer.m_alive = false;
     }
@@ -97,11 +98,11 @@
       silence >= m_times.m_forgetAfter && !m_listed.contains(it->first);
     it = forget ? m_peers.erase(it) : std::next(it);
   }
-  CountNear();
+  CountOwnDataCentre();
 }
 
 void
-Roster::TellAll(Actions& aActions)
+Roster::SendToAll(Actions& aActions)
 {
   std::set<std::string> addresses;
   for (const auto& [name, address] : m_listed) {
@@ -118,12 +119,12 @@
 void
 Roster::TellByHall(Instant aNow, Actions& aActions)
 {
-  if (aNow >= m_nextFar.value_or(aNow)) {
-    m_nextFar = aNow + m_times.m_farEvery;
-    TellAll(aActions);
+  if (aNow >= m_nextRemoteHeartbeat.value_or(aNow)) {
+    m_nextRemoteHeartbeat = aNow + m_times.m_remoteHeartbeatEvery;
+    SendToAll(aActions);
   } else {
     for (const auto& [name, peer] : m_peers) {
-      if (IsNear(peer)) {
+      if (IsInOwnDataCentre(peer)) {
         aActions.emplace_back(SendHeartbeat{ peer.m_last.m_peerAddress });
       }
     }
@@ -136,31 +137,31 @@
 {
   std::map<std::string_view, std::vector<const PeerView*>> halls;
   for (const auto& [name, peer] : m_peers) {
-    if (peer.m_alive && !IsNear(peer)) {
+    if (peer.m_alive && !IsInOwnDataCentre(peer)) {
       halls[peer.m_last.m_hall].push_back(&peer);
     }
   }
-  // `m_turn` starts at the hash of the own name, so that the instances of this
-  // data centre choose different recipients.
-  ++m_turn;
+  // `m_recipientTurn` starts at the hash of the own name, so that the instances
+  // of this data centre choose different recipients.
+  ++m_recipientTurn;
   for (const auto& [hall, peers] : halls) {
-    const PeerView& peer = *peers[m_turn % peers.size()];
+    const PeerView& peer = *peers[m_recipientTurn % peers.size()];
     aActions.emplace_back(SendHallLoads{ peer.m_last.m_peerAddress });
   }
 }
 
 bool
-Roster::IsNear(const PeerView& aPeer) const
+Roster::IsInOwnDataCentre(const PeerView& aPeer) const
 {
   return aPeer.m_last.m_hall == m_hall;
 }
 
 void
-Roster::CountNear()
+Roster::CountOwnDataCentre()
 {
-  m_near =
+  m_peersInOwnDataCentre =
     std::count_if(m_peers.begin(), m_peers.end(), [this](const auto& aEntry) {
-      return IsNear(aEntry.second);
+      return IsInOwnDataCentre(aEntry.second);
     });
 }
 
@@ -175,22 +176,24 @@
 bool
 Roster::TellsByHall() const
 {
-  return TimeForAll() > m_times.m_mostToAll;
+  return TimeForAll() > m_times.m_maxRoundToAll;
 }
 
 Duration
 Roster::IntervalOf(const PeerView& aPeer) const
 {
-  return TellsByHall() && !IsNear(aPeer) ? m_times.m_farEvery
-                                         : HeartbeatInterval();
+  return TellsByHall() && !IsInOwnDataCentre(aPeer)
+           ? m_times.m_remoteHeartbeatEvery
+           : HeartbeatInterval();
 }
 
 Duration
 Roster::HeartbeatInterval() const
 {
   return std::max(m_times.m_heartbeatEvery,
-                  TellsByHall() ? m_times.m_heartbeatEachPeer * m_near
-                                : TimeForAll());
+                  TellsByHall()
+                    ? m_times.m_heartbeatEachPeer * m_peersInOwnDataCentre
+                    : TimeForAll());
 }
 
 std::size_t
@@ -219,11 +222,11 @@
 }
 
 std::set<std::string>
-Roster::NearAddresses() const
+Roster::OwnDataCentreAddresses() const
 {
   std::set<std::string> out;
   for (const auto& [name, peer] : m_peers) {
-    if (IsNear(peer)) {
+    if (IsInOwnDataCentre(peer)) {
       out.insert(peer.m_last.m_peerAddress);
     }
   }
--- a/packages/membership/src/StoreDuty.cpp
+++ b/packages/membership/src/StoreDuty.cpp
@@ -21,15 +21,15 @@
 
 } // namespace
 
-StoreDuty::StoreDuty(const Roster& aRoster, DutyAsker aAsker)
+StorePollers::StorePollers(const Roster& aRoster, PollerIdentity aAsker)
   : m_roster(aRoster)
   , m_asker(std::move(aAsker))
   , m_hash(Hash64(m_asker.m_instance))
 {
 }
 
-StoreDuty::Bounds
-StoreDuty::DutyBounds() const
+StorePollers::Bounds
+StorePollers::PollerBounds() const
 {
   std::map<std::string_view, std::vector<std::uint64_t>> lowest;
   const auto note = [&](std::string_view aHall, std::uint64_t aHash) {
@@ -54,10 +54,10 @@
 }
 
 bool
-StoreDuty::HearsOfStore(Instant aNow) const
+StorePollers::HearsWorkingPoller(Instant aNow) const
 {
   const auto& peers = m_roster.Peers();
-  const Bounds bounds = DutyBounds();
+  const Bounds bounds = PollerBounds();
   return std::any_of(peers.begin(), peers.end(), [&](const auto& aEntry) {
     const PeerView& peer = aEntry.second;
     return !peer.m_last.m_leaving && peer.m_last.m_store &&
@@ -67,15 +67,16 @@
 }
 
 bool
-StoreDuty::IsFresh(const PeerView& aPeer, Instant aNow) const
+StorePollers::IsFresh(const PeerView& aPeer, Instant aNow) const
 {
-  return aNow - aPeer.m_heardAt <= m_roster.IntervalOf(aPeer) * kFreshTalks;
+  return aNow - aPeer.m_lastHeartbeatAt <=
+         m_roster.IntervalOf(aPeer) * kFreshHeartbeats;
 }
 
 std::optional<Instant>
-StoreDuty::ReadsSince(std::string_view aHall,
-                      StoreGeneration aGeneration,
-                      Instant aNow) const
+StorePollers::ReadsSince(std::string_view aHall,
+                         StoreGeneration aGeneration,
+                         Instant aNow) const
 {
   std::optional<Instant> since;
   for (const auto& [name, peer] : m_roster.Peers()) {
@@ -85,22 +86,22 @@
     if (!reads || peer.m_last.m_hall != aHall || !IsFresh(peer, aNow)) {
       continue;
     }
-    const Instant began = peer.m_heardAt - *view->m_readsFor;
+    const Instant began = peer.m_lastHeartbeatAt - *view->m_readsFor;
     since = std::min(since.value_or(began), began);
   }
   return since;
 }
 
 bool
-StoreDuty::IsOnDuty(Instant aNow) const
+StorePollers::IsPoller(Instant aNow) const
 {
-  return IsOnDutyByPlace() || !HearsOfStore(aNow);
+  return IsPollerByHash() || !HearsWorkingPoller(aNow);
 }
 
 bool
-StoreDuty::IsOnDutyByPlace() const
+StorePollers::IsPollerByHash() const
 {
-  return m_hash <= BoundOf(DutyBounds(), m_asker.m_hall);
+  return m_hash <= BoundOf(PollerBounds(), m_asker.m_hall);
 }
 
 } // namespace ridgeferry::membership
--- a/packages/membership/tests/RosterTest.cpp
+++ b/packages/membership/tests/RosterTest.cpp
@@ -27,7 +27,7 @@
     }));
 }
 
-TEST(RosterTest, CountsWhoIsHeardAndNotLeaving)
+TEST(RosterTest, CountsLivePeersThatAreNotLeaving)
 {
   Roster roster("a");
   roster.Handle(HeartbeatArrived{ From("b") }, kStart);
@@ -41,7 +41,7 @@
   EXPECT_EQ(roster.LiveCount(), 1U);
 }
 
-TEST(RosterTest, TellsThatAnEarlierLifeHasEnded)
+TEST(RosterTest, ReportsThatAnEarlierIncarnationHasEnded)
 {
   Roster roster("a");
   roster.Handle(HeartbeatArrived{ From("b", 5) }, kStart);
@@ -59,7 +59,7 @@
 // The clock may have been set back between two incarnations of an instance. Its
 // heartbeats must then be accepted once the earlier incarnation counts as dead,
 // although their incarnation is lower.
-TEST(RosterTest, ASilentPeerMayComeBackWithAnEarlierStart)
+TEST(RosterTest, ADeadPeerMayReturnWithALowerIncarnation)
 {
   Roster roster("a");
   roster.Handle(HeartbeatArrived{ From("b", 6) }, kStart);
@@ -159,7 +159,7 @@
     out.m_heartbeatEvery = Duration{ 40 };
     out.m_heartbeatEachPeer = Duration{ 4 };
     out.m_deadAfterMissed = 10;
-    out.m_mostToAll = Duration{ 300 };
+    out.m_maxRoundToAll = Duration{ 300 };
     return out;
   }
 
@@ -291,7 +291,7 @@
                     HallsCase{ "EightHallsOfTwenty", 8, 20, 0 }),
   [](const auto& aInfo) { return std::string(aInfo.param.m_name); });
 
-TEST(RosterHallsSmallTest, FewInstancesTellAll)
+TEST(RosterHallsSmallTest, FewInstancesSendToAll)
 {
   HallsWorld world(3, 20);
   for (int i = 0; i < 50; ++i) {
--- a/packages/membership/tests/StoreDutyTest.cpp
+++ b/packages/membership/tests/StoreDutyTest.cpp
@@ -13,7 +13,7 @@
  * data centre.
  */
 std::vector<std::string>
-ByDuty(std::size_t aCount)
+NamesInPollerOrder(std::size_t aCount)
 {
   std::vector<std::string> out;
   for (std::size_t i = 0; i < aCount; ++i) {
@@ -41,7 +41,7 @@
  * The heartbeats that the third instance of a data centre, which is no poller
  * by its hash, receives, and whether it must poll the store.
  */
-struct DutyCase
+struct PollerCase
 {
   const char* m_name;
   /** Whether the reads of the first and of the second poller fail. */
@@ -56,13 +56,13 @@
   bool m_onDuty;
 };
 
-class StoreDutyTest : public ::testing::TestWithParam<DutyCase>
+class StorePollersTest : public ::testing::TestWithParam<PollerCase>
 {};
 
-TEST_P(StoreDutyTest, OneThatRestsNeedsSomebodyWhoReads)
+TEST_P(StorePollersTest, PollsUnlessAnotherPollerReads)
 {
-  const DutyCase& that = GetParam();
-  const auto names = ByDuty(3);
+  const PollerCase& that = GetParam();
+  const auto names = NamesInPollerOrder(3);
   Roster roster(names[2]);
   if (that.m_firstHeard) {
     roster.Handle(HeartbeatArrived{ From(names[0], "hall", that.m_firstLost) },
@@ -73,62 +73,63 @@
   if (that.m_otherHall) {
     roster.Handle(HeartbeatArrived{ From("far", "other", false) }, kStart);
   }
-  const StoreDuty duty(roster, { names[2], "hall", false });
-  EXPECT_EQ(duty.IsOnDuty(kStart), that.m_onDuty);
-  EXPECT_EQ(duty.HearsOfStore(kStart), !that.m_onDuty);
+  const StorePollers duty(roster, { names[2], "hall", false });
+  EXPECT_EQ(duty.IsPoller(kStart), that.m_onDuty);
+  EXPECT_EQ(duty.HearsWorkingPoller(kStart), !that.m_onDuty);
 }
 
 INSTANTIATE_TEST_SUITE_P(
   Heard,
-  StoreDutyTest,
+  StorePollersTest,
   ::testing::Values(
-    DutyCase{ "BothRead", false, false, true, false, false },
-    DutyCase{ "OneIsCutOff", true, false, true, false, false },
-    DutyCase{ "BothAreCutOff", true, true, true, false, true },
-    DutyCase{ "AnotherHallReads", true, true, true, true, false },
-    DutyCase{ "Alone", false, false, false, false, true }),
+    PollerCase{ "BothRead", false, false, true, false, false },
+    PollerCase{ "OneIsCutOff", true, false, true, false, false },
+    PollerCase{ "BothAreCutOff", true, true, true, false, true },
+    PollerCase{ "AnotherHallReads", true, true, true, true, false },
+    PollerCase{ "Alone", false, false, false, false, true }),
   [](const auto& aInfo) { return std::string(aInfo.param.m_name); });
 
-TEST(StoreDutyTimeTest, WhoIsNotHeardAnyMoreDoesNotCount)
+TEST(StorePollersTimeTest, APollerWithoutRecentHeartbeatsDoesNotCount)
 {
-  const auto names = ByDuty(3);
+  const auto names = NamesInPollerOrder(3);
   Roster roster(names[2]);
   for (std::size_t i = 0; i < 2; ++i) {
     roster.Handle(HeartbeatArrived{ From(names[i], "hall", false) }, kStart);
   }
-  const StoreDuty duty(roster, { names[2], "hall", false });
-  const Duration fresh = roster.HeartbeatInterval() * StoreDuty::kFreshTalks;
-  EXPECT_FALSE(duty.IsOnDuty(kStart + fresh));
-  EXPECT_TRUE(duty.IsOnDuty(kStart + fresh + Duration{ 1 }));
+  const StorePollers duty(roster, { names[2], "hall", false });
+  const Duration fresh =
+    roster.HeartbeatInterval() * StorePollers::kFreshHeartbeats;
+  EXPECT_FALSE(duty.IsPoller(kStart + fresh));
+  EXPECT_TRUE(duty.IsPoller(kStart + fresh + Duration{ 1 }));
 }
 
-TEST(StoreDutyTimeTest, AHallHasTwoOnDutyByWhatEachOfThemHears)
+TEST(StorePollersTimeTest, AHallHasTwoOnDutyByWhatEachOfThemHears)
 {
-  const auto names = ByDuty(5);
+  const auto names = NamesInPollerOrder(5);
   std::size_t onDuty = 0;
   for (const std::string& self : names) {
     Roster roster(self);
     for (const std::string& peer : names) {
       roster.Handle(HeartbeatArrived{ From(peer, "hall", false) }, kStart);
     }
-    const StoreDuty duty(roster, { self, "hall", false });
-    onDuty += duty.IsOnDuty(kStart) ? 1 : 0;
+    const StorePollers duty(roster, { self, "hall", false });
+    onDuty += duty.IsPoller(kStart) ? 1 : 0;
   }
   EXPECT_EQ(onDuty, 2U);
 }
 
 // A leaving instance must hand over to the next one; otherwise its data centre
 // is left with one poller.
-TEST(StoreDutyTimeTest, OneThatLeavesIsNotOnDuty)
+TEST(StorePollersTimeTest, ALeavingInstanceIsNoPoller)
 {
-  const auto names = ByDuty(3);
+  const auto names = NamesInPollerOrder(3);
   Roster roster(names[2]);
   Heartbeat leaving = From(names[0], "hall", false);
   leaving.m_leaving = true;
   roster.Handle(HeartbeatArrived{ leaving }, kStart);
   roster.Handle(HeartbeatArrived{ From(names[1], "hall", false) }, kStart);
-  const StoreDuty duty(roster, { names[2], "hall", false });
-  EXPECT_TRUE(duty.IsOnDuty(kStart));
+  const StorePollers duty(roster, { names[2], "hall", false });
+  EXPECT_TRUE(duty.IsPoller(kStart));
 }
 
 /**
@@ -161,7 +162,7 @@
   Roster roster("self");
   roster.Handle(HeartbeatArrived{ heartbeat },
                 now - Duration{ that.m_heardBeforeMs });
-  const StoreDuty duty(roster, { "self", "here", false });
+  const StorePollers duty(roster, { "self", "here", false });
   const auto since = duty.ReadsSince("hall", 1, now);
   ASSERT_EQ(since.has_value(), that.m_sinceMs.has_value());
   if (since) {
@@ -190,7 +191,7 @@
   Heartbeat heartbeat = From("a", "hall", false);
   heartbeat.m_store->m_readsFor = Duration{ 900 };
   roster.Handle(HeartbeatArrived{ heartbeat }, kStart);
-  const StoreDuty duty(roster, { "self", "here", false });
+  const StorePollers duty(roster, { "self", "here", false });
   EXPECT_TRUE(duty.ReadsSince("hall", 1, kStart).has_value());
   EXPECT_FALSE(duty.ReadsSince("hall", 2, kStart).has_value());
 }
@@ -204,7 +205,7 @@
     heartbeat.m_store->m_readsFor = Duration{ readsForMs };
     roster.Handle(HeartbeatArrived{ heartbeat }, kStart);
   }
-  const StoreDuty duty(roster, { "self", "here", false });
+  const StorePollers duty(roster, { "self", "here", false });
   EXPECT_EQ(duty.ReadsSince("hall", 1, kStart), kStart - Duration{ 5000 });
 }
 
--- a/packages/protocol/src/Messages.cpp
+++ b/packages/protocol/src/Messages.cpp
@@ -61,31 +61,31 @@
            static_cast<std::uint64_t>(aVersion) };
 }
 
-std::optional<membership::EnginePart>
+std::optional<membership::EngineRole>
 PartFrom(std::int32_t aValue)
 {
   const auto highest =
-    static_cast<std::int32_t>(membership::EnginePart::Generates);
+    static_cast<std::int32_t>(membership::EngineRole::Decoding);
   if (aValue < 0 || aValue > highest) {
     return std::nullopt;
   }
-  return static_cast<membership::EnginePart>(aValue);
+  return static_cast<membership::EngineRole>(aValue);
 }
 
 constexpr std::int64_t kBornNotSaid = -1;
 
 void
 SetEndings(wire::Heartbeat& aOut,
-           const std::vector<membership::EndingDigest>& aEndings)
+           const std::vector<membership::CrashDigest>& aEndings)
 {
   std::vector<std::int64_t> high;
   std::vector<std::int64_t> low;
   std::vector<std::int64_t> lives;
   std::vector<bool> cleared;
-  for (const membership::EndingDigest& ending : aEndings) {
+  for (const membership::CrashDigest& ending : aEndings) {
     high.push_back(static_cast<std::int64_t>(ending.m_callHigh));
     low.push_back(static_cast<std::int64_t>(ending.m_callLow));
-    lives.push_back(static_cast<std::int64_t>(ending.m_life));
+    lives.push_back(static_cast<std::int64_t>(ending.m_incarnationHash));
     cleared.push_back(ending.m_cleared);
   }
   aOut.__set_endedCallsHigh(high);
@@ -95,7 +95,7 @@
 }
 
 /** Nothing: the lists differ in length. */
-std::optional<std::vector<membership::EndingDigest>>
+std::optional<std::vector<membership::CrashDigest>>
 EndingsFrom(const wire::Heartbeat& aIn)
 {
   const std::size_t count = aIn.endedLives.size();
@@ -103,7 +103,7 @@
       aIn.endingsCleared.size() != count) {
     return std::nullopt;
   }
-  std::vector<membership::EndingDigest> out;
+  std::vector<membership::CrashDigest> out;
   for (std::size_t i = 0; i < count; ++i) {
     out.push_back({ static_cast<std::uint64_t>(aIn.endedCallsHigh[i]),
                     static_cast<std::uint64_t>(aIn.endedCallsLow[i]),
@@ -145,7 +145,7 @@
       engines.push_back(static_cast<std::int32_t>(digest.m_engine));
       states.push_back(static_cast<std::int32_t>(digest.m_state));
       loads.push_back(digest.m_running);
-      work.push_back(digest.m_work);
+      work.push_back(digest.m_tokensToPrefill);
     }
     out.__set_engines(engines);
     out.__set_states(states);
@@ -159,29 +159,29 @@
   if (aMessage.m_tellsHall) {
     out.__set_tellsHall(true);
   }
-  if (!aMessage.m_parts.empty()) {
+  if (!aMessage.m_roles.empty()) {
     std::vector<std::int32_t> engines;
     std::vector<std::int32_t> parts;
-    for (const membership::PartDigest& digest : aMessage.m_parts) {
+    for (const membership::RoleDigest& digest : aMessage.m_roles) {
       engines.push_back(static_cast<std::int32_t>(digest.m_engine));
       parts.push_back(static_cast<std::int32_t>(digest.m_part));
     }
     out.__set_changedEngines(engines);
     out.__set_changedParts(parts);
   }
-  if (!aMessage.m_reads.empty()) {
+  if (!aMessage.m_prefills.empty()) {
     std::vector<std::int32_t> parts;
     std::vector<std::int32_t> engines;
-    for (const membership::ReadDigest& digest : aMessage.m_reads) {
+    for (const membership::PrefillDigest& digest : aMessage.m_prefills) {
       parts.push_back(static_cast<std::int32_t>(digest.m_part));
       engines.push_back(static_cast<std::int32_t>(digest.m_engine));
     }
     out.__set_readParts(parts);
     out.__set_readEngines(engines);
   }
-  if (!aMessage.m_apart.empty()) {
-    out.__set_servicesApart(
-      { aMessage.m_apart.begin(), aMessage.m_apart.end() });
+  if (!aMessage.m_disaggregatedServices.empty()) {
+    out.__set_servicesApart({ aMessage.m_disaggregatedServices.begin(),
+                              aMessage.m_disaggregatedServices.end() });
   }
   if (aMessage.m_store) {
     const membership::StoreView& store = *aMessage.m_store;
@@ -198,11 +198,12 @@
       out.__set_storeReadsForMs(store.m_readsFor->count());
     }
   }
-  if (!aMessage.m_endings.empty()) {
-    SetEndings(out, aMessage.m_endings);
+  if (!aMessage.m_crashes.empty()) {
+    SetEndings(out, aMessage.m_crashes);
   }
-  if (aMessage.m_heldCalls) {
-    out.__set_heldCalls(static_cast<std::int64_t>(*aMessage.m_heldCalls));
+  if (aMessage.m_quarantineFingerprint) {
+    out.__set_heldCalls(
+      static_cast<std::int64_t>(*aMessage.m_quarantineFingerprint));
   }
   return Write(out);
 }
@@ -312,17 +313,19 @@
     if (!part) {
       return tl::unexpected(DecodeError{ "no part of an engine" });
     }
-    out.m_parts.push_back(
+    out.m_roles.push_back(
       { static_cast<std::uint32_t>(in->changedEngines[i]), *part });
   }
   if (in->readParts.size() != in->readEngines.size()) {
     return tl::unexpected(DecodeError{ "reads of different lengths" });
   }
   for (std::size_t i = 0; i < in->readParts.size(); ++i) {
-    out.m_reads.push_back({ static_cast<std::uint32_t>(in->readParts[i]),
-                            static_cast<std::uint32_t>(in->readEngines[i]) });
+    out.m_prefills.push_back(
+      { static_cast<std::uint32_t>(in->readParts[i]),
+        static_cast<std::uint32_t>(in->readEngines[i]) });
   }
-  out.m_apart = { in->servicesApart.begin(), in->servicesApart.end() };
+  out.m_disaggregatedServices = { in->servicesApart.begin(),
+                                  in->servicesApart.end() };
   if (in->__isset.configVersion && in->__isset.membersVersion) {
     out.m_store = { PositionOf(in->configGeneration, in->configVersion),
                     PositionOf(in->membersGeneration, in->membersVersion),
@@ -336,9 +339,9 @@
   if (!endings) {
     return tl::unexpected(DecodeError{ "endings of different lengths" });
   }
-  out.m_endings = std::move(*endings);
+  out.m_crashes = std::move(*endings);
   if (in->__isset.heldCalls) {
-    out.m_heldCalls = static_cast<std::uint64_t>(in->heldCalls);
+    out.m_quarantineFingerprint = static_cast<std::uint64_t>(in->heldCalls);
   }
   return out;
 }
--- a/packages/protocol/tests/MessagesTest.cpp
+++ b/packages/protocol/tests/MessagesTest.cpp
@@ -32,20 +32,21 @@
   }
   for (std::uint32_t engine :
        *rc::gen::arbitrary<std::vector<std::uint32_t>>()) {
-    out.m_parts.push_back(
-      { engine, static_cast<membership::EnginePart>(engine % 3) });
+    out.m_roles.push_back(
+      { engine, static_cast<membership::EngineRole>(engine % 3) });
   }
   for (std::uint32_t part : *rc::gen::arbitrary<std::vector<std::uint32_t>>()) {
-    out.m_reads.push_back({ part, part ^ 5U });
+    out.m_prefills.push_back({ part, part ^ 5U });
   }
   for (std::uint32_t life : *rc::gen::arbitrary<std::vector<std::uint32_t>>()) {
-    out.m_endings.push_back({ life * 3ULL, life * 5ULL, life, life % 2 == 0 });
+    out.m_crashes.push_back({ life * 3ULL, life * 5ULL, life, life % 2 == 0 });
   }
   if (*rc::gen::arbitrary<bool>()) {
-    out.m_heldCalls = *rc::gen::arbitrary<std::uint64_t>();
+    out.m_quarantineFingerprint = *rc::gen::arbitrary<std::uint64_t>();
   }
   out.m_tellsHall = *rc::gen::arbitrary<bool>();
-  out.m_apart = *rc::gen::arbitrary<std::vector<std::uint32_t>>();
+  out.m_disaggregatedServices =
+    *rc::gen::arbitrary<std::vector<std::uint32_t>>();
   if (*rc::gen::arbitrary<bool>()) {
     const auto number = [] {
       return *rc::gen::inRange<std::uint64_t>(0, 1ULL << 62U);
--- a/packages/quarantine/include/ridgeferry/quarantine/BrokenRuns.h
+++ b/packages/quarantine/include/ridgeferry/quarantine/BrokenRuns.h
@@ -34,7 +34,7 @@
    * upstreams that crash at the same time. Further broken runs are not
    * recorded, so their calls are not suspected.
    */
-  static constexpr std::size_t kMost = 4096;
+  static constexpr std::size_t kMaxRuns = 4096;
 
   void NoteBroken(const CallDigest& aCall,
                   const UpstreamLife& aUpstream,
@@ -63,7 +63,8 @@
    * Returns the incarnations of the upstream of which it is not known yet
    * whether they crashed.
    */
-  std::vector<UpstreamLife> LivesOf(std::string_view aUpstream) const;
+  std::vector<UpstreamLife> UnresolvedIncarnations(
+    std::string_view aUpstream) const;
   /**
    * Returns the ids of upstreams of which it is not known yet whether they
    * crashed.
--- a/packages/quarantine/include/ridgeferry/quarantine/EndingsText.h
+++ b/packages/quarantine/include/ridgeferry/quarantine/EndingsText.h
@@ -16,13 +16,13 @@
  * been restarted. Thread-safe.
  */
 std::string
-FormatEndings(std::span<const ToldEnding> aEndings, WallTime aNow);
+FormatCrashRecords(std::span<const ReportedCrash> aEndings, WallTime aNow);
 
 /**
- * Parses the output of `FormatEndings`. The error says what is wrong with the
- * text. Thread-safe.
+ * Parses the output of `FormatCrashRecords`. The error says what is wrong with
+ * the text. Thread-safe.
  */
-tl::expected<std::vector<ToldEnding>, std::string>
-ParseEndings(std::string_view aText, WallTime aNow);
+tl::expected<std::vector<ReportedCrash>, std::string>
+ParseCrashRecords(std::string_view aText, WallTime aNow);
 
 } // namespace ridgeferry::quarantine
--- a/packages/quarantine/include/ridgeferry/quarantine/Quarantine.h
+++ b/packages/quarantine/include/ridgeferry/quarantine/Quarantine.h
@@ -12,23 +12,23 @@
 namespace ridgeferry::quarantine {
 
 /** Records that an upstream crashed while it ran a call. */
-struct Ending
+struct CrashRecord
 {
   CallDigest m_call;
-  /** `LifeHash` of the incarnation of the upstream that crashed. */
-  std::uint64_t m_life = 0;
+  /** `IncarnationHash` of the incarnation of the upstream that crashed. */
+  std::uint64_t m_incarnationHash = 0;
   /**
    * The call has completed successfully elsewhere, so this crash no longer
    * counts against it.
    */
   bool m_cleared = false;
-  bool operator==(const Ending&) const = default;
+  bool operator==(const CrashRecord&) const = default;
 };
 
 /** A crash record received from another instance or read from the store. */
-struct ToldEnding
+struct ReportedCrash
 {
-  Ending m_ending;
+  CrashRecord m_record;
   /** Upper bound on the time since the crash was first observed. */
   Duration m_age{};
 };
@@ -38,7 +38,7 @@
  * instances. Thread-safe.
  */
 std::uint64_t
-LifeHash(const UpstreamLife& aUpstream);
+IncarnationHash(const UpstreamLife& aUpstream);
 
 /** How a crash record has changed the state of its call. */
 enum class Change : std::uint8_t
@@ -62,17 +62,18 @@
  * Records under which calls upstreams crashed, and decides which of these calls
  * are quarantined, that is, are sent to no upstream any more.
  *
- * A call is quarantined once `kEndsToHold` distinct incarnations of upstreams
- * have crashed while they ran it and it has not completed successfully since.
- * The quarantine lasts for `kHoldFor` after the last of these crashes. If all
- * the crashes lie closer together than `kOneCause`, they may have a common
- * cause other than the call, such as a machine that the upstreams share. The
- * quarantine is then doubted from `kDoubtFor` after the last crash on, and a
- * single run may test whether it is justified.
+ * A call is quarantined once `kCrashesToQuarantine` distinct incarnations of
+ * upstreams have crashed while they ran it and it has not completed
+ * successfully since. The quarantine lasts for `kQuarantineTime` after the last
+ * of these crashes. If all the crashes lie closer together than
+ * `kCommonCauseWindow`, they may have a common cause other than the call, such
+ * as a machine that the upstreams share. The quarantine is then doubted from
+ * `kDoubtedAfter` after the last crash on, and a single run may test whether it
+ * is justified.
  *
  * All calls that ran on an upstream that crashed are suspected alike. A run
  * that completes successfully clears its call, and a suspicion expires after
- * `kSuspectFor`.
+ * `kSuspicionTime`.
  *
  * Crash records merge: whatever the order and the number of copies in which
  * instances receive them, all instances come to quarantine the same calls,
@@ -88,58 +89,59 @@
    * coincidence. Each further crash would cost whatever else runs on one more
    * upstream.
    */
-  static constexpr std::size_t kEndsToHold = 3;
+  static constexpr std::size_t kCrashesToQuarantine = 3;
   /**
    * From so many crashes on, a call is not retried within the same attempt of
    * its caller.
    */
-  static constexpr std::size_t kEndsToCare = 2;
+  static constexpr std::size_t kCrashesToStopRetries = 2;
   /**
    * Crashes that lie closer together than this may have a common cause.
    * Upstreams that are lost together crash within milliseconds of each other,
    * and their crashes are noticed within some tens of milliseconds.
    */
-  static constexpr Duration kOneCause{ 100 };
+  static constexpr Duration kCommonCauseWindow{ 100 };
   /**
    * Time after the last crash from which on a quarantine may be doubted. It is
    * long enough for all callers that sent the call at the same time to be
    * answered.
    */
-  static constexpr Duration kDoubtFor{ 2000 };
+  static constexpr Duration kDoubtedAfter{ 2000 };
   /** Lifetime of a suspicion. Callers that retry do so within minutes. */
-  static constexpr Duration kSuspectFor = std::chrono::minutes(10);
+  static constexpr Duration kSuspicionTime = std::chrono::minutes(10);
   /**
-   * Duration of a quarantine. Each expiry costs `kEndsToHold` upstreams if the
-   * cause still stands; operators need a day to find the cause.
+   * Duration of a quarantine. Each expiry costs `kCrashesToQuarantine`
+   * upstreams if the cause still stands; operators need a day to find the
+   * cause.
    */
-  static constexpr Duration kHoldFor = std::chrono::hours(24);
+  static constexpr Duration kQuarantineTime = std::chrono::hours(24);
   /**
    * Bounds on memory; each call takes some 200 bytes. The oldest suspected call
    * is evicted first; a quarantined call is evicted only in favour of another
    * quarantined one.
    */
-  static constexpr std::size_t kMostSuspects = 4096;
-  static constexpr std::size_t kMostHeld = 1024;
+  static constexpr std::size_t kMaxSuspected = 4096;
+  static constexpr std::size_t kMaxQuarantined = 1024;
   /**
    * Number of incarnations recorded for each call. When they are exhausted, a
    * new crash replaces one that was cleared; if none was cleared, further
    * crashes add no information.
    */
-  static constexpr std::size_t kMostLives = 8;
+  static constexpr std::size_t kMaxIncarnations = 8;
 
   /**
    * Records a crash that this instance observed or that was reported to it
    * `aAge` after it happened.
    */
-  Change Note(const Ending& aEnding, Instant aNow, Duration aAge = {});
+  Change Note(const CrashRecord& aEnding, Instant aNow, Duration aAge = {});
   /**
    * Records that the call completed successfully. Returns its crash records
    * that this has cleared, to be sent to the peers; empty if the call was not
    * suspected.
    */
-  std::vector<Ending> NoteServed(const CallDigest& aCall);
+  std::vector<CrashRecord> NoteServed(const CallDigest& aCall);
 
-  bool IsHeld(const CallDigest& aCall) const;
+  bool IsQuarantined(const CallDigest& aCall) const;
   /**
    * Returns whether the call is quarantined but its crashes may have had a
    * common cause, so that one run at a time over all instances may test it.
@@ -147,10 +149,10 @@
   bool IsDoubted(const CallDigest& aCall, Instant aNow) const;
   /**
    * Returns how long the call stays quarantined from `aNow` on, or how long
-   * until its quarantine is doubted, whichever applies. Returns `kDoubtFor` if
-   * it is doubted already and 0 if the call is not quarantined.
+   * until its quarantine is doubted, whichever applies. Returns `kDoubtedAfter`
+   * if it is doubted already and 0 if the call is not quarantined.
    */
-  Duration HeldFor(const CallDigest& aCall, Instant aNow) const;
+  Duration QuarantineTimeLeft(const CallDigest& aCall, Instant aNow) const;
   /**
    * Returns the number of incarnations whose crashes count against the call.
    */
@@ -171,7 +173,7 @@
    * was cut off, or for the store. Calls with the most recorded incarnations
    * come first, then those with the latest crash.
    */
-  std::vector<ToldEnding> Snapshot(Instant aNow, std::size_t aMost) const;
+  std::vector<ReportedCrash> Snapshot(Instant aNow, std::size_t aMost) const;
   /**
    * Returns a value that is the same for two instances that quarantine the same
    * calls; 0 if no call is quarantined.
@@ -182,32 +184,36 @@
   struct Life
   {
     bool m_cleared = false;
-    Instant m_endedAt;
+    Instant m_crashedAt;
   };
   struct Call
   {
-    std::map<std::uint64_t, Life> m_lives; ///< Incarnations by `LifeHash`.
+    std::map<std::uint64_t, Life>
+      m_incarnations; ///< Incarnations by `IncarnationHash`.
     /**
      * Times of the first and the last crash that counted against the call, also
-     * of incarnations beyond `kMostLives`.
+     * of incarnations beyond `kMaxIncarnations`.
      */
-    Instant m_firstEnd;
-    Instant m_lastEnd;
+    Instant m_firstCrash;
+    Instant m_lastCrash;
   };
   using Calls = std::map<CallDigest, Call>;
 
   static std::size_t EndsOf(const Call& aCall);
-  static bool IsHeld(const Call& aCall) { return EndsOf(aCall) >= kEndsToHold; }
+  static bool IsQuarantined(const Call& aCall)
+  {
+    return EndsOf(aCall) >= kCrashesToQuarantine;
+  }
   /**
    * Returns whether all crashes that count against the call may have had one
    * common cause.
    */
-  static bool MayHaveOneCause(const Call& aCall)
+  static bool MayHaveCommonCause(const Call& aCall)
   {
-    return aCall.m_lastEnd - aCall.m_firstEnd < kOneCause;
+    return aCall.m_lastCrash - aCall.m_firstCrash < kCommonCauseWindow;
   }
-  static void NoteEnd(Call& aCall, Instant aEndedAt);
-  static Change Accuse(Call& aCall, std::uint64_t aLife, Instant aEndedAt);
+  static void NoteCrashTime(Call& aCall, Instant aEndedAt);
+  static Change AddCrash(Call& aCall, std::uint64_t aLife, Instant aEndedAt);
   static Change Clear(Call& aCall, std::uint64_t aLife, Instant aEndedAt);
   /**
    * Removes the oldest incarnation whose crash was cleared. Returns false if
--- a/packages/quarantine/src/BrokenRuns.cpp
+++ b/packages/quarantine/src/BrokenRuns.cpp
@@ -20,7 +20,7 @@
                        const UpstreamLife& aUpstream,
                        Instant aNow)
 {
-  if (m_runs.size() < kMost) {
+  if (m_runs.size() < kMaxRuns) {
     m_runs.push_back({ aCall, aUpstream, aNow });
   }
 }
@@ -66,7 +66,7 @@
 }
 
 std::vector<UpstreamLife>
-BrokenRuns::LivesOf(std::string_view aUpstream) const
+BrokenRuns::UnresolvedIncarnations(std::string_view aUpstream) const
 {
   std::vector<UpstreamLife> out;
   for (const Run& run : m_runs) {
--- a/packages/quarantine/src/EndingsText.cpp
+++ b/packages/quarantine/src/EndingsText.cpp
@@ -12,8 +12,8 @@
 constexpr const char* kCleared = "cleared";
 constexpr const char* kEndedAt = "endedAtMs"; ///< Unix time in milliseconds.
 
-std::optional<ToldEnding>
-EndingFrom(const nlohmann::json& aItem, WallTime aNow)
+std::optional<ReportedCrash>
+CrashRecordFrom(const nlohmann::json& aItem, WallTime aNow)
 {
   if (!aItem.is_object() || !aItem.contains(kCall) ||
       !aItem[kCall].is_string() || !aItem.contains(kLife) ||
@@ -30,7 +30,7 @@
   const Duration age = now - Duration(aItem[kEndedAt].get<std::int64_t>());
   // The writer's clock may be ahead of this instance's clock, which would give
   // a negative age.
-  return ToldEnding{
+  return ReportedCrash{
     { *call, aItem[kLife].get<std::uint64_t>(), aItem[kCleared].get<bool>() },
     std::max(Duration{}, age)
   };
@@ -39,29 +39,29 @@
 } // namespace
 
 std::string
-FormatEndings(std::span<const ToldEnding> aEndings, WallTime aNow)
+FormatCrashRecords(std::span<const ReportedCrash> aEndings, WallTime aNow)
 {
   nlohmann::json out = nlohmann::json::array();
-  for (const ToldEnding& told : aEndings) {
+  for (const ReportedCrash& told : aEndings) {
     const WallTime endedAt = aNow - told.m_age;
-    out.push_back({ { kCall, FormatDigest(told.m_ending.m_call) },
-                    { kLife, told.m_ending.m_life },
-                    { kCleared, told.m_ending.m_cleared },
+    out.push_back({ { kCall, FormatDigest(told.m_record.m_call) },
+                    { kLife, told.m_record.m_incarnationHash },
+                    { kCleared, told.m_record.m_cleared },
                     { kEndedAt, endedAt.time_since_epoch().count() } });
   }
   return out.dump();
 }
 
-tl::expected<std::vector<ToldEnding>, std::string>
-ParseEndings(std::string_view aText, WallTime aNow)
+tl::expected<std::vector<ReportedCrash>, std::string>
+ParseCrashRecords(std::string_view aText, WallTime aNow)
 {
   const auto document = nlohmann::json::parse(aText, nullptr, false);
   if (!document.is_array()) {
     return tl::unexpected(std::string("crash records are not a JSON array"));
   }
-  std::vector<ToldEnding> out;
+  std::vector<ReportedCrash> out;
   for (const nlohmann::json& item : document) {
-    const auto told = EndingFrom(item, aNow);
+    const auto told = CrashRecordFrom(item, aNow);
     if (!told) {
       return tl::unexpected("entry " + std::to_string(out.size()) +
                             " of the crash records needs valid fields call, "
--- a/packages/quarantine/src/Quarantine.cpp
+++ b/packages/quarantine/src/Quarantine.cpp
@@ -8,7 +8,7 @@
 namespace ridgeferry::quarantine {
 
 std::uint64_t
-LifeHash(const UpstreamLife& aUpstream)
+IncarnationHash(const UpstreamLife& aUpstream)
 {
   const std::string born =
     aUpstream.m_born ? std::to_string(*aUpstream.m_born) : "";
@@ -18,18 +18,20 @@
 std::size_t
 Quarantine::EndsOf(const Call& aCall)
 {
-  return static_cast<std::size_t>(std::count_if(
-    aCall.m_lives.begin(), aCall.m_lives.end(), [](const auto& aLife) {
-      return !aLife.second.m_cleared;
-    }));
+  return static_cast<std::size_t>(
+    std::count_if(aCall.m_incarnations.begin(),
+                  aCall.m_incarnations.end(),
+                  [](const auto& aLife) { return !aLife.second.m_cleared; }));
 }
 
 void
-Quarantine::NoteEnd(Call& aCall, Instant aEndedAt)
+Quarantine::NoteCrashTime(Call& aCall, Instant aEndedAt)
 {
   const bool isFirst = EndsOf(aCall) == 0;
-  aCall.m_firstEnd = isFirst ? aEndedAt : std::min(aCall.m_firstEnd, aEndedAt);
-  aCall.m_lastEnd = isFirst ? aEndedAt : std::max(aCall.m_lastEnd, aEndedAt);
+  aCall.m_firstCrash =
+    isFirst ? aEndedAt : std::min(aCall.m_firstCrash, aEndedAt);
+  aCall.m_lastCrash =
+    isFirst ? aEndedAt : std::max(aCall.m_lastCrash, aEndedAt);
 }
 
 Duration
@@ -38,63 +40,67 @@
   // A call that was quarantined and then cleared is kept as long as one in
   // quarantine. Otherwise an instance that has not received the clearing would
   // report the crashes again, and they would count again.
-  return aCall.m_lives.size() >= kEndsToHold ? kHoldFor : kSuspectFor;
+  return aCall.m_incarnations.size() >= kCrashesToQuarantine ? kQuarantineTime
+                                                             : kSuspicionTime;
 }
 
 Change
-Quarantine::Note(const Ending& aEnding, Instant aNow, Duration aAge)
+Quarantine::Note(const CrashRecord& aEnding, Instant aNow, Duration aAge)
 {
-  if (aAge >= kHoldFor) {
+  if (aAge >= kQuarantineTime) {
     return Change::None;
   }
   if (!m_calls.contains(aEnding.m_call)) {
     MakeRoom();
   }
   Call& call = m_calls[aEnding.m_call];
-  return aEnding.m_cleared ? Clear(call, aEnding.m_life, aNow - aAge)
-                           : Accuse(call, aEnding.m_life, aNow - aAge);
+  return aEnding.m_cleared
+           ? Clear(call, aEnding.m_incarnationHash, aNow - aAge)
+           : AddCrash(call, aEnding.m_incarnationHash, aNow - aAge);
 }
 
 bool
 Quarantine::ForgetCleared(Call& aCall)
 {
-  auto oldest = aCall.m_lives.end();
-  for (auto it = aCall.m_lives.begin(); it != aCall.m_lives.end(); ++it) {
-    const bool older = oldest == aCall.m_lives.end() ||
-                       it->second.m_endedAt < oldest->second.m_endedAt;
+  auto oldest = aCall.m_incarnations.end();
+  for (auto it = aCall.m_incarnations.begin(); it != aCall.m_incarnations.end();
+       ++it) {
+    const bool older = oldest == aCall.m_incarnations.end() ||
+                       it->second.m_crashedAt < oldest->second.m_crashedAt;
     if (it->second.m_cleared && older) {
       oldest = it;
     }
   }
-  if (oldest == aCall.m_lives.end()) {
+  if (oldest == aCall.m_incarnations.end()) {
     return false;
   }
-  aCall.m_lives.erase(oldest);
+  aCall.m_incarnations.erase(oldest);
   return true;
 }
 
 Change
-Quarantine::Accuse(Call& aCall, std::uint64_t aLife, Instant aEndedAt)
+Quarantine::AddCrash(Call& aCall, std::uint64_t aLife, Instant aEndedAt)
 {
-  if (aCall.m_lives.contains(aLife)) {
+  if (aCall.m_incarnations.contains(aLife)) {
     return Change::None; // The crash is known, and possibly cleared.
   }
-  const bool held = IsHeld(aCall);
-  NoteEnd(aCall, aEndedAt);
-  if (aCall.m_lives.size() >= kMostLives && !ForgetCleared(aCall)) {
+  const bool held = IsQuarantined(aCall);
+  NoteCrashTime(aCall, aEndedAt);
+  if (aCall.m_incarnations.size() >= kMaxIncarnations &&
+      !ForgetCleared(aCall)) {
     return Change::None;
   }
-  aCall.m_lives.emplace(aLife, Life{ false, aEndedAt });
-  return IsHeld(aCall) && !held ? Change::Held : Change::Suspected;
+  aCall.m_incarnations.emplace(aLife, Life{ false, aEndedAt });
+  return IsQuarantined(aCall) && !held ? Change::Held : Change::Suspected;
 }
 
 Change
 Quarantine::Clear(Call& aCall, std::uint64_t aLife, Instant aEndedAt)
 {
-  const auto known = aCall.m_lives.find(aLife);
-  if (known == aCall.m_lives.end()) {
-    if (aCall.m_lives.size() < kMostLives) {
-      aCall.m_lives.emplace(aLife, Life{ true, aEndedAt });
+  const auto known = aCall.m_incarnations.find(aLife);
+  if (known == aCall.m_incarnations.end()) {
+    if (aCall.m_incarnations.size() < kMaxIncarnations) {
+      aCall.m_incarnations.emplace(aLife, Life{ true, aEndedAt });
     }
     return Change::None;
   }
@@ -104,15 +110,15 @@
   return EndsOf(aCall) == 0 ? Change::Cleared : Change::None;
 }
 
-std::vector<Ending>
+std::vector<CrashRecord>
 Quarantine::NoteServed(const CallDigest& aCall)
 {
-  std::vector<Ending> out;
+  std::vector<CrashRecord> out;
   const auto found = m_calls.find(aCall);
   if (found == m_calls.end()) {
     return out;
   }
-  for (auto& [hash, life] : found->second.m_lives) {
+  for (auto& [hash, life] : found->second.m_incarnations) {
     if (!life.m_cleared) {
       life.m_cleared = true;
       out.push_back({ aCall, hash, true });
@@ -122,33 +128,34 @@
 }
 
 bool
-Quarantine::IsHeld(const CallDigest& aCall) const
+Quarantine::IsQuarantined(const CallDigest& aCall) const
 {
   const auto found = m_calls.find(aCall);
-  return found != m_calls.end() && IsHeld(found->second);
+  return found != m_calls.end() && IsQuarantined(found->second);
 }
 
 bool
 Quarantine::IsDoubted(const CallDigest& aCall, Instant aNow) const
 {
   const auto found = m_calls.find(aCall);
-  return found != m_calls.end() && IsHeld(found->second) &&
-         MayHaveOneCause(found->second) &&
-         aNow - found->second.m_lastEnd >= kDoubtFor;
+  return found != m_calls.end() && IsQuarantined(found->second) &&
+         MayHaveCommonCause(found->second) &&
+         aNow - found->second.m_lastCrash >= kDoubtedAfter;
 }
 
 Duration
-Quarantine::HeldFor(const CallDigest& aCall, Instant aNow) const
+Quarantine::QuarantineTimeLeft(const CallDigest& aCall, Instant aNow) const
 {
   const auto found = m_calls.find(aCall);
-  if (found == m_calls.end() || !IsHeld(found->second)) {
+  if (found == m_calls.end() || !IsQuarantined(found->second)) {
     return {};
   }
   if (IsDoubted(aCall, aNow)) {
-    return kDoubtFor;
+    return kDoubtedAfter;
   }
-  const Duration from = MayHaveOneCause(found->second) ? kDoubtFor : kHoldFor;
-  return std::max(Duration{}, found->second.m_lastEnd + from - aNow);
+  const Duration from =
+    MayHaveCommonCause(found->second) ? kDoubtedAfter : kQuarantineTime;
+  return std::max(Duration{}, found->second.m_lastCrash + from - aNow);
 }
 
 std::size_t
@@ -163,7 +170,7 @@
 {
   return static_cast<std::size_t>(
     std::count_if(m_calls.begin(), m_calls.end(), [](const auto& aEntry) {
-      return IsHeld(aEntry.second);
+      return IsQuarantined(aEntry.second);
     }));
 }
 
@@ -172,7 +179,7 @@
 {
   return static_cast<std::size_t>(
     std::count_if(m_calls.begin(), m_calls.end(), [](const auto& aEntry) {
-      return EndsOf(aEntry.second) > 0 && !IsHeld(aEntry.second);
+      return EndsOf(aEntry.second) > 0 && !IsQuarantined(aEntry.second);
     }));
 }
 
@@ -180,10 +187,10 @@
 Quarantine::MakeRoom()
 {
   const std::size_t held = Held();
-  if (held >= kMostHeld) {
+  if (held >= kMaxQuarantined) {
     ForgetOldest(true);
   }
-  if (m_calls.size() - held >= kMostSuspects) {
+  if (m_calls.size() - held >= kMaxSuspected) {
     ForgetOldest(false);
   }
 }
@@ -194,8 +201,8 @@
   auto oldest = m_calls.end();
   for (auto it = m_calls.begin(); it != m_calls.end(); ++it) {
     const bool older = oldest == m_calls.end() ||
-                       it->second.m_lastEnd < oldest->second.m_lastEnd;
-    if (IsHeld(it->second) == aHeld && older) {
+                       it->second.m_lastCrash < oldest->second.m_lastCrash;
+    if (IsQuarantined(it->second) == aHeld && older) {
       oldest = it;
     }
   }
@@ -210,8 +217,8 @@
   std::vector<CallDigest> out;
   std::erase_if(m_calls, [&](const auto& aEntry) {
     const Call& call = aEntry.second;
-    const bool lapsed = aNow - call.m_lastEnd >= KeptFor(call);
-    if (lapsed && IsHeld(call)) {
+    const bool lapsed = aNow - call.m_lastCrash >= KeptFor(call);
+    if (lapsed && IsQuarantined(call)) {
       out.push_back(aEntry.first);
     }
     return lapsed;
@@ -219,7 +226,7 @@
   return out;
 }
 
-std::vector<ToldEnding>
+std::vector<ReportedCrash>
 Quarantine::Snapshot(Instant aNow, std::size_t aMost) const
 {
   std::vector<Calls::const_iterator> calls;
@@ -227,21 +234,21 @@
     calls.push_back(it);
   }
   const auto weight = [](const Call& aCall) {
-    return std::pair(aCall.m_lives.size(), aCall.m_lastEnd);
+    return std::pair(aCall.m_incarnations.size(), aCall.m_lastCrash);
   };
   std::stable_sort(
     calls.begin(), calls.end(), [&](const auto& aLeft, const auto& aRight) {
       return weight(aLeft->second) > weight(aRight->second);
     });
-  std::vector<ToldEnding> out;
+  std::vector<ReportedCrash> out;
   for (const auto& it : calls) {
     const auto& [digest, call] = *it;
-    if (out.size() + call.m_lives.size() > aMost) {
+    if (out.size() + call.m_incarnations.size() > aMost) {
       break;
     }
-    for (const auto& [hash, life] : call.m_lives) {
+    for (const auto& [hash, life] : call.m_incarnations) {
       out.push_back(
-        { { digest, hash, life.m_cleared }, aNow - life.m_endedAt });
+        { { digest, hash, life.m_cleared }, aNow - life.m_crashedAt });
     }
   }
   return out;
@@ -252,7 +259,7 @@
 {
   std::uint64_t out = 0;
   for (const auto& [digest, call] : m_calls) {
-    if (IsHeld(call)) {
+    if (IsQuarantined(call)) {
       out ^= digest.m_low;
     }
   }
--- a/packages/quarantine/tests/BrokenRunsTest.cpp
+++ b/packages/quarantine/tests/BrokenRunsTest.cpp
@@ -28,7 +28,7 @@
 class BrokenRunsTest : public ::testing::TestWithParam<EndCase>
 {};
 
-TEST_P(BrokenRunsTest, AnEndAccusesWhatItsUpstreamRan)
+TEST_P(BrokenRunsTest, ACrashCountsAgainstTheCallsOfItsUpstream)
 {
   BrokenRuns runs;
   GetParam().m_before(runs);
@@ -109,16 +109,17 @@
   EXPECT_EQ(runs.Unresolved(kCall), 2U);
   EXPECT_EQ(runs.Unresolved(kOther), 0U);
   EXPECT_EQ(runs.Upstreams(), (std::set<std::string>{ "i-1", "i-2" }));
-  EXPECT_EQ(runs.LivesOf("i-1"), std::vector<UpstreamLife>{ kLife });
+  EXPECT_EQ(runs.UnresolvedIncarnations("i-1"),
+            std::vector<UpstreamLife>{ kLife });
 }
 
 TEST(BrokenRunsCountTest, MemoryIsBounded)
 {
   BrokenRuns runs;
-  for (std::uint64_t i = 0; i < 2 * BrokenRuns::kMost; ++i) {
+  for (std::uint64_t i = 0; i < 2 * BrokenRuns::kMaxRuns; ++i) {
     runs.NoteBroken({ i, i }, kLife, At(0));
   }
-  EXPECT_EQ(runs.NoteEnded(kLife).size(), BrokenRuns::kMost);
+  EXPECT_EQ(runs.NoteEnded(kLife).size(), BrokenRuns::kMaxRuns);
 }
 
 } // namespace
--- a/packages/quarantine/tests/QuarantineTest.cpp
+++ b/packages/quarantine/tests/QuarantineTest.cpp
@@ -17,7 +17,7 @@
 
 constexpr Duration kMs{ 1 };
 /** Crashes this far apart do not count as having a common cause. */
-constexpr Duration kApart = Quarantine::kOneCause;
+constexpr Duration kApart = Quarantine::kCommonCauseWindow;
 
 /**
  * Records crashes of three upstreams under the call, the last one at `aLast`.
@@ -30,46 +30,48 @@
   }
 }
 
-TEST(QuarantineTest, TheThirdLifeThatEndsHoldsTheCall)
+TEST(QuarantineTest, TheThirdCrashQuarantinesTheCall)
 {
   Quarantine quarantine;
   EXPECT_EQ(quarantine.Note({ kCall, 1 }, At(kMs)), Change::Suspected);
   EXPECT_EQ(quarantine.Note({ kCall, 2 }, At(2 * kMs)), Change::Suspected);
-  EXPECT_FALSE(quarantine.IsHeld(kCall));
+  EXPECT_FALSE(quarantine.IsQuarantined(kCall));
   const Instant third = At(kMs + kApart);
   EXPECT_EQ(quarantine.Note({ kCall, 3 }, third), Change::Held);
-  EXPECT_TRUE(quarantine.IsHeld(kCall));
-  EXPECT_EQ(quarantine.HeldFor(kCall, third), Quarantine::kHoldFor);
-  EXPECT_FALSE(quarantine.IsHeld({ 1, 2 }));
+  EXPECT_TRUE(quarantine.IsQuarantined(kCall));
+  EXPECT_EQ(quarantine.QuarantineTimeLeft(kCall, third),
+            Quarantine::kQuarantineTime);
+  EXPECT_FALSE(quarantine.IsQuarantined({ 1, 2 }));
 }
 
-TEST(QuarantineTest, EndsAtOnceHoldTheCallForAWhileAndOneMoreForLong)
+TEST(QuarantineTest, CrashesAtOnceLeaveTheQuarantineDoubtedUntilOneMore)
 {
   Quarantine quarantine;
   for (std::uint64_t life = 1; life <= 3; ++life) {
     quarantine.Note({ kCall, life }, At(kMs));
   }
-  const Instant later = At(kMs + Quarantine::kDoubtFor);
+  const Instant later = At(kMs + Quarantine::kDoubtedAfter);
   EXPECT_FALSE(quarantine.IsDoubted(kCall, later - kMs));
   EXPECT_TRUE(quarantine.IsDoubted(kCall, later));
-  EXPECT_TRUE(quarantine.IsHeld(kCall));
+  EXPECT_TRUE(quarantine.IsQuarantined(kCall));
   EXPECT_EQ(quarantine.Note({ kCall, 4 }, later), Change::Suspected);
-  EXPECT_FALSE(quarantine.IsDoubted(kCall, later + Quarantine::kDoubtFor));
-  EXPECT_EQ(quarantine.HeldFor(kCall, later), Quarantine::kHoldFor);
+  EXPECT_FALSE(quarantine.IsDoubted(kCall, later + Quarantine::kDoubtedAfter));
+  EXPECT_EQ(quarantine.QuarantineTimeLeft(kCall, later),
+            Quarantine::kQuarantineTime);
 }
 
-TEST(QuarantineTest, AnEndBeyondThoseThatAreKeptEndsTheDoubt)
+TEST(QuarantineTest, ACrashBeyondTheRecordedOnesEndsTheDoubt)
 {
   Quarantine quarantine;
-  for (std::uint64_t life = 1; life <= Quarantine::kMostLives; ++life) {
+  for (std::uint64_t life = 1; life <= Quarantine::kMaxIncarnations; ++life) {
     quarantine.Note({ kCall, life }, At(kMs));
   }
-  const Instant later = At(kMs + Quarantine::kDoubtFor);
-  quarantine.Note({ kCall, Quarantine::kMostLives + 1 }, later);
-  EXPECT_FALSE(quarantine.IsDoubted(kCall, later + Quarantine::kDoubtFor));
+  const Instant later = At(kMs + Quarantine::kDoubtedAfter);
+  quarantine.Note({ kCall, Quarantine::kMaxIncarnations + 1 }, later);
+  EXPECT_FALSE(quarantine.IsDoubted(kCall, later + Quarantine::kDoubtedAfter));
 }
 
-TEST(QuarantineTest, OneLifeCountsOnceWhoeverTellsOfIt)
+TEST(QuarantineTest, AnIncarnationCountsOnceWhoeverReportsIt)
 {
   Quarantine quarantine;
   EXPECT_EQ(quarantine.Note({ kCall, 1 }, At(kMs)), Change::Suspected);
@@ -77,7 +79,7 @@
   EXPECT_EQ(quarantine.Ends(kCall), 1U);
 }
 
-TEST(QuarantineTest, ARunThatEndsWellClearsAndLateWordsDoNotAccuseAgain)
+TEST(QuarantineTest, ASuccessfulRunClearsTheCallAndLateReportsDoNotCount)
 {
   Quarantine here;
   Quarantine there;
@@ -85,58 +87,61 @@
     here.Note({ kCall, life }, At(kMs));
     there.Note({ kCall, life }, At(kMs));
   }
-  for (const Ending& cleared : here.NoteServed(kCall)) {
+  for (const CrashRecord& cleared : here.NoteServed(kCall)) {
     there.Note(cleared, At(2 * kMs));
   }
-  EXPECT_FALSE(there.IsHeld(kCall));
+  EXPECT_FALSE(there.IsQuarantined(kCall));
   EXPECT_EQ(there.Note({ kCall, 2 }, At(3 * kMs)), Change::None);
   EXPECT_EQ(there.Ends(kCall), 0U);
   EXPECT_TRUE(here.NoteServed(kCall).empty());
 }
 
-TEST(QuarantineTest, EndsThatWereClearedHideNoLaterOnes)
+TEST(QuarantineTest, ClearedCrashesHideNoLaterOnes)
 {
   Quarantine quarantine;
-  for (std::uint64_t life = 1; life <= Quarantine::kMostLives; ++life) {
+  for (std::uint64_t life = 1; life <= Quarantine::kMaxIncarnations; ++life) {
     quarantine.Note({ kCall, life }, At(kMs));
     quarantine.NoteServed(kCall);
   }
   for (std::uint64_t life = 101; life <= 103; ++life) {
     quarantine.Note({ kCall, life }, At(kApart * life));
   }
-  EXPECT_TRUE(quarantine.IsHeld(kCall));
+  EXPECT_TRUE(quarantine.IsQuarantined(kCall));
 }
 
-TEST(QuarantineTest, SuspicionsLapseSoonAndHoldsLate)
+TEST(QuarantineTest, SuspicionsExpireBeforeQuarantines)
 {
   Quarantine quarantine;
   const Duration last = 3 * kApart;
   quarantine.Note({ { 2, 2 }, 1 }, At(last));
   EndThree(quarantine, last);
-  const Instant soon = At(last + Quarantine::kSuspectFor);
+  const Instant soon = At(last + Quarantine::kSuspicionTime);
   EXPECT_TRUE(quarantine.Tick(soon).empty());
   EXPECT_EQ(quarantine.Suspected(), 0U);
-  EXPECT_TRUE(quarantine.IsHeld(kCall));
-  EXPECT_EQ(quarantine.Tick(At(last + Quarantine::kHoldFor)),
+  EXPECT_TRUE(quarantine.IsQuarantined(kCall));
+  EXPECT_EQ(quarantine.Tick(At(last + Quarantine::kQuarantineTime)),
             std::vector<CallDigest>{ kCall });
   EXPECT_TRUE(quarantine.IsEmpty());
 }
 
-TEST(QuarantineTest, AHoldThatIsToldLateIsNoLonger)
+TEST(QuarantineTest, AQuarantineReportedLateLastsNoLonger)
 {
   Quarantine quarantine;
   const Duration age = std::chrono::hours(23);
   for (std::uint64_t life = 1; life <= 3; ++life) {
-    quarantine.Note(
-      { kCall, life }, At(Quarantine::kHoldFor), age + kApart * (3 - life));
+    quarantine.Note({ kCall, life },
+                    At(Quarantine::kQuarantineTime),
+                    age + kApart * (3 - life));
   }
-  EXPECT_EQ(quarantine.HeldFor(kCall, At(Quarantine::kHoldFor)),
-            std::chrono::hours(1));
-  EXPECT_EQ(quarantine.Note({ { 3, 3 }, 1 }, At(kMs), Quarantine::kHoldFor),
-            Change::None);
+  EXPECT_EQ(
+    quarantine.QuarantineTimeLeft(kCall, At(Quarantine::kQuarantineTime)),
+    std::chrono::hours(1));
+  EXPECT_EQ(
+    quarantine.Note({ { 3, 3 }, 1 }, At(kMs), Quarantine::kQuarantineTime),
+    Change::None);
 }
 
-TEST(QuarantineTest, ManySuspectsNeitherFillMemoryNorFreeTheHeld)
+TEST(QuarantineTest, ManySuspectedCallsDoNotEvictQuarantinedOnes)
 {
   Quarantine quarantine;
   const Duration last = 3 * kApart;
@@ -144,42 +149,44 @@
   for (std::uint64_t i = 10; i < 10'010; ++i) {
     quarantine.Note({ { i, i }, 1 }, At(2 * last));
   }
-  EXPECT_TRUE(quarantine.IsHeld(kCall));
-  EXPECT_LE(quarantine.Suspected(), Quarantine::kMostSuspects);
+  EXPECT_TRUE(quarantine.IsQuarantined(kCall));
+  EXPECT_LE(quarantine.Suspected(), Quarantine::kMaxSuspected);
 }
 
-TEST(QuarantineTest, ManyHeldCallsDoNotFillMemory)
+TEST(QuarantineTest, ManyQuarantinedCallsDoNotFillMemory)
 {
   Quarantine quarantine;
-  for (std::uint64_t i = 0; i < 2 * Quarantine::kMostHeld; ++i) {
+  for (std::uint64_t i = 0; i < 2 * Quarantine::kMaxQuarantined; ++i) {
     for (std::uint64_t life = 1; life <= 3; ++life) {
       quarantine.Note({ { i, i }, life }, At(kMs * i));
     }
   }
-  const std::uint64_t last = 2 * Quarantine::kMostHeld - 1;
-  EXPECT_LE(quarantine.Held(), Quarantine::kMostHeld);
-  EXPECT_TRUE(quarantine.IsHeld({ last, last }));
+  const std::uint64_t last = 2 * Quarantine::kMaxQuarantined - 1;
+  EXPECT_LE(quarantine.Held(), Quarantine::kMaxQuarantined);
+  EXPECT_TRUE(quarantine.IsQuarantined({ last, last }));
 }
 
 /** Draws crash records and clearings of a few calls and incarnations. */
-std::vector<Ending>
-DrawWords()
+std::vector<CrashRecord>
+DrawRecords()
 {
-  return *rc::gen::container<std::vector<Ending>>(
+  return *rc::gen::container<std::vector<CrashRecord>>(
     rc::gen::map(rc::gen::tuple(rc::gen::inRange<std::uint64_t>(0, 3),
                                 rc::gen::inRange<std::uint64_t>(0, 5),
                                 rc::gen::inRange(0, 4)),
                  [](const auto& aDrawn) {
                    const auto& [call, life, cleared] = aDrawn;
-                   return Ending{ { call, call }, life, cleared == 0 };
+                   return CrashRecord{ { call, call }, life, cleared == 0 };
                  }));
 }
 
-RC_GTEST_PROP(QuarantineMergeTest, InstancesThatHeardTheSameHoldTheSame, ())
+RC_GTEST_PROP(QuarantineMergeTest,
+              InstancesWithTheSameRecordsQuarantineTheSameCalls,
+              ())
 {
-  const std::vector<Ending> words = DrawWords();
-  std::vector<Ending> others = words;
-  for (const Ending& word : words) {
+  const std::vector<CrashRecord> words = DrawRecords();
+  std::vector<CrashRecord> others = words;
+  for (const CrashRecord& word : words) {
     if (*rc::gen::arbitrary<bool>()) {
       others.push_back(word); // The record arrives twice.
     }
@@ -195,7 +202,7 @@
   });
   Quarantine here;
   Quarantine there;
-  for (const Ending& word : words) {
+  for (const CrashRecord& word : words) {
     here.Note(word, At(kMs));
   }
   for (const std::size_t i : order) {
@@ -207,24 +214,26 @@
   }
 }
 
-RC_GTEST_PROP(QuarantineMergeTest, ASnapshotMakesOneThatStartsHoldTheSame, ())
+RC_GTEST_PROP(QuarantineMergeTest,
+              ASnapshotMakesAStartingInstanceQuarantineTheSame,
+              ())
 {
   Quarantine here;
-  for (const Ending& word : DrawWords()) {
+  for (const CrashRecord& word : DrawRecords()) {
     here.Note(word, At(kMs));
   }
   const WallTime wall{ Duration{ 1'800'000'000'000 } };
-  const auto told = ParseEndings(
-    FormatEndings(here.Snapshot(At(5 * kMs), 100), wall), wall + kMs);
+  const auto told = ParseCrashRecords(
+    FormatCrashRecords(here.Snapshot(At(5 * kMs), 100), wall), wall + kMs);
   RC_ASSERT(told.has_value());
   Quarantine there;
-  for (const ToldEnding& ending : *told) {
-    there.Note(ending.m_ending, At(5 * kMs), ending.m_age);
+  for (const ReportedCrash& ending : *told) {
+    there.Note(ending.m_record, At(5 * kMs), ending.m_age);
   }
   RC_ASSERT(here.Fingerprint() == there.Fingerprint());
 }
 
-TEST(QuarantineSnapshotTest, TellsTheCallsOfMostEndsFirst)
+TEST(QuarantineSnapshotTest, ContainsTheCallsWithMostCrashesFirst)
 {
   Quarantine quarantine;
   for (std::uint64_t i = 10; i < 20; ++i) {
@@ -233,24 +242,24 @@
   for (std::uint64_t life = 1; life <= 2; ++life) {
     quarantine.Note({ kCall, life }, At(kMs));
   }
-  const std::vector<ToldEnding> told = quarantine.Snapshot(At(9 * kMs), 4);
+  const std::vector<ReportedCrash> told = quarantine.Snapshot(At(9 * kMs), 4);
   ASSERT_EQ(told.size(), 4U);
-  EXPECT_EQ(told[0].m_ending.m_call, kCall);
-  EXPECT_EQ(told[1].m_ending.m_call, kCall);
+  EXPECT_EQ(told[0].m_record.m_call, kCall);
+  EXPECT_EQ(told[1].m_record.m_call, kCall);
   EXPECT_EQ(told[0].m_age, 8 * kMs);
 }
 
-class BadEndingsTest : public ::testing::TestWithParam<const char*>
+class BadCrashRecordsTest : public ::testing::TestWithParam<const char*>
 {};
 
-TEST_P(BadEndingsTest, AreAnError)
+TEST_P(BadCrashRecordsTest, AreAnError)
 {
-  EXPECT_FALSE(ParseEndings(GetParam(), {}).has_value());
+  EXPECT_FALSE(ParseCrashRecords(GetParam(), {}).has_value());
 }
 
 INSTANTIATE_TEST_SUITE_P(
   Texts,
-  BadEndingsTest,
+  BadCrashRecordsTest,
   ::testing::Values("",
                     "{}",
                     "[1]",
--- a/packages/quarantine/tests/QuarantineWorldTest.cpp
+++ b/packages/quarantine/tests/QuarantineWorldTest.cpp
@@ -15,7 +15,7 @@
 namespace ridgeferry::quarantine {
 namespace {
 
-constexpr CallDigest kDeadly{ 1, 1 };
+constexpr CallDigest kCrashingCall{ 1, 1 };
 /**
  * Time from a crash until it is known that nobody listens at the upstream's
  * address.
@@ -28,7 +28,7 @@
  * late runs than `kMostLateRuns` break the rule for operators, which limits how
  * long a call goes on crashing upstreams.
  */
-constexpr Duration kContact{ 3000 };
+constexpr Duration kLateAfter{ 3000 };
 constexpr std::size_t kMostTold = 100;
 constexpr int kMostLateRuns = 3;
 constexpr Duration kUpstreamsBackAfter{ 4000 };
@@ -53,10 +53,10 @@
    * ends.
    */
   Duration m_runsFor{ 100 };
-  Duration m_talk{ 5 }; ///< Delay of a message between instances.
-  double m_lost = 0;    ///< Share of messages that are lost.
+  Duration m_messageDelay{ 5 }; ///< Delay of a message between instances.
+  double m_lost = 0;            ///< Share of messages that are lost.
   /** Interval at which one instance restarts; with 0 none does. */
-  Duration m_startEvery{};
+  Duration m_restartEvery{};
   Duration m_length{ 20'000 };
 };
 
@@ -75,8 +75,8 @@
   {
     Plan(m_load.m_callEvery, [this] { Call(); });
     Plan(kCompareEvery, [this] { Compare(); });
-    if (m_load.m_startEvery.count() > 0) {
-      Plan(m_load.m_startEvery, [this] { StartAnew(); });
+    if (m_load.m_restartEvery.count() > 0) {
+      Plan(m_load.m_restartEvery, [this] { Restart(); });
     }
     while (!m_events.empty() &&
            m_events.top().m_at <= Instant(m_load.m_length)) {
@@ -89,7 +89,7 @@
 
   int Ends() const { return m_ends; }
   /**
-   * Returns the number of runs begun later than `kContact` after the third
+   * Returns the number of runs begun later than `kLateAfter` after the third
    * crash.
    */
   int LateRuns() const { return m_lateRuns; }
@@ -113,7 +113,7 @@
     Quarantine m_quarantine;
     BrokenRuns m_broken;
     int m_life = 0;
-    std::optional<Instant> m_startedAnewAt;
+    std::optional<Instant> m_restartedAt;
   };
   struct Upstream
   {
@@ -140,9 +140,9 @@
   {
     const std::size_t at = Draw(m_instances.size());
     const Instance& instance = m_instances[at];
-    const std::size_t ends = instance.m_quarantine.Ends(kDeadly) +
-                             instance.m_broken.Unresolved(kDeadly);
-    if (ends >= Quarantine::kEndsToHold && !MayTry(at)) {
+    const std::size_t ends = instance.m_quarantine.Ends(kCrashingCall) +
+                             instance.m_broken.Unresolved(kCrashingCall);
+    if (ends >= Quarantine::kCrashesToQuarantine && !MayTry(at)) {
       return;
     }
     std::vector<std::size_t> up;
@@ -154,7 +154,8 @@
     if (up.empty()) {
       return;
     }
-    if (m_thirdEnd && m_now - *m_thirdEnd > kContact && IsCalm(instance)) {
+    if (m_thirdEnd && m_now - *m_thirdEnd > kLateAfter &&
+        CountsLateRuns(instance)) {
       ++m_lateRuns;
     }
     const std::size_t upstream = up[Draw(up.size())];
@@ -170,7 +171,7 @@
   bool MayTry(std::size_t aInstance)
   {
     if (aInstance != 0 || m_now < m_nextTry ||
-        !m_instances[0].m_quarantine.IsDoubted(kDeadly, m_now)) {
+        !m_instances[0].m_quarantine.IsDoubted(kCrashingCall, m_now)) {
       return false;
     }
     m_nextTry = m_now + kTryEvery;
@@ -179,12 +180,12 @@
 
   /**
    * Returns whether runs of the instance count as late. They do not count
-   * within `kContact` after its restart.
+   * within `kLateAfter` after its restart.
    */
-  bool IsCalm(const Instance& aInstance) const
+  bool CountsLateRuns(const Instance& aInstance) const
   {
-    return !aInstance.m_startedAnewAt ||
-           m_now - *aInstance.m_startedAnewAt > kContact;
+    return !aInstance.m_restartedAt ||
+           m_now - *aInstance.m_restartedAt > kLateAfter;
   }
 
   void End(std::size_t aInstance, std::size_t aUpstream, int aLife)
@@ -195,7 +196,7 @@
     if (upstream.m_backAt.value_or(m_now) <= m_now) {
       upstream.m_backAt = m_now + kUpstreamsBackAfter;
       ++upstream.m_born;
-      if (++m_ends == static_cast<int>(Quarantine::kEndsToHold)) {
+      if (++m_ends == static_cast<int>(Quarantine::kCrashesToQuarantine)) {
         m_thirdEnd = m_now;
       }
     }
@@ -203,7 +204,7 @@
       // The instance that could have reported the crash has restarted since.
       return;
     }
-    m_instances[aInstance].m_broken.NoteBroken(kDeadly, ended, m_now);
+    m_instances[aInstance].m_broken.NoteBroken(kCrashingCall, ended, m_now);
     After(kDetect, [this, aInstance, ended] { Detect(aInstance, ended); });
   }
 
@@ -211,7 +212,7 @@
   {
     Instance& instance = m_instances[aInstance];
     for (const auto& [call, brokeAt] : instance.m_broken.NoteEnded(aEnded)) {
-      const Ending ending{ call, LifeHash(aEnded) };
+      const CrashRecord ending{ call, IncarnationHash(aEnded) };
       instance.m_quarantine.Note(ending, m_now, m_now - brokeAt);
       for (std::size_t i = 0; i < m_instances.size(); ++i) {
         Tell(i, ending);
@@ -219,13 +220,13 @@
     }
   }
 
-  void Tell(std::size_t aTo, const Ending& aEnding)
+  void Tell(std::size_t aTo, const CrashRecord& aEnding)
   {
     if (std::uniform_real_distribution<double>(0, 1)(m_random) <
         m_load.m_lost) {
       return;
     }
-    After(m_load.m_talk, [this, aTo, aEnding] {
+    After(m_load.m_messageDelay, [this, aTo, aEnding] {
       m_instances[aTo].m_quarantine.Note(aEnding, m_now);
     });
   }
@@ -242,9 +243,9 @@
       if (other.m_quarantine.Fingerprint() == own) {
         continue;
       }
-      for (const ToldEnding& told :
+      for (const ReportedCrash& told :
            other.m_quarantine.Snapshot(m_now, kMostTold)) {
-        instance.m_quarantine.Note(told.m_ending, m_now, told.m_age);
+        instance.m_quarantine.Note(told.m_record, m_now, told.m_age);
       }
     }
   }
@@ -253,16 +254,16 @@
    * Restarts a random instance, which reads the crash records of another one
    * before it accepts calls.
    */
-  void StartAnew()
+  void Restart()
   {
     const std::size_t at = Draw(m_instances.size());
     Instance fresh;
     fresh.m_life = m_instances[at].m_life + 1;
-    fresh.m_startedAnewAt = m_now;
+    fresh.m_restartedAt = m_now;
     const Instance& asked = m_instances[(at + 1) % m_instances.size()];
-    for (const ToldEnding& told :
+    for (const ReportedCrash& told :
          asked.m_quarantine.Snapshot(m_now, kMostTold)) {
-      fresh.m_quarantine.Note(told.m_ending, m_now, told.m_age);
+      fresh.m_quarantine.Note(told.m_record, m_now, told.m_age);
     }
     m_instances[at] = std::move(fresh);
   }
@@ -286,13 +287,14 @@
  * run if crashes at the same time leave the quarantine doubted.
  */
 int
-MostEnds(const Load& aLoad)
+MaxCrashes(const Load& aLoad)
 {
-  const Duration unknown = aLoad.m_runsFor + kDetect + aLoad.m_talk;
+  const Duration unknown = aLoad.m_runsFor + kDetect + aLoad.m_messageDelay;
   const auto begun = static_cast<int>(unknown / aLoad.m_callEvery) + 1;
   const bool mayBeDoubted =
-    2 * aLoad.m_callEvery < Quarantine::kOneCause + aLoad.m_talk;
-  return static_cast<int>(Quarantine::kEndsToHold) + begun +
+    2 * aLoad.m_callEvery <
+    Quarantine::kCommonCauseWindow + aLoad.m_messageDelay;
+  return static_cast<int>(Quarantine::kCrashesToQuarantine) + begun +
          (mayBeDoubted ? 1 : 0);
 }
 
@@ -305,13 +307,13 @@
 class QuarantineWorldTest : public ::testing::TestWithParam<LoadCase>
 {};
 
-TEST_P(QuarantineWorldTest, EndsAreFewHoweverOftenTheCallComesBack)
+TEST_P(QuarantineWorldTest, CrashesAreFewHoweverOftenTheCallIsRetried)
 {
   constexpr std::uint64_t kSeeds = 20;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     World world(GetParam().m_load, seed);
     world.Play();
-    EXPECT_LE(world.Ends(), MostEnds(GetParam().m_load)) << "seed " << seed;
+    EXPECT_LE(world.Ends(), MaxCrashes(GetParam().m_load)) << "seed " << seed;
     EXPECT_EQ(world.LateRuns(), 0) << "seed " << seed;
   }
 }
@@ -338,17 +340,17 @@
  * With lost messages and restarted instances the number of crashes has no sharp
  * bound, but the number of late runs must stay bounded.
  */
-RC_GTEST_PROP(QuarantineWorldProperty, NothingRunsLongBehindTheThirdEnd, ())
+RC_GTEST_PROP(QuarantineWorldProperty, FewRunsBeginLongAfterTheThirdCrash, ())
 {
   Load load;
   load.m_instances = *rc::gen::inRange(2, 20);
   load.m_upstreams = *rc::gen::inRange(1, 60);
   load.m_callEvery = Duration(*rc::gen::inRange(5, 500));
   load.m_runsFor = Duration(*rc::gen::inRange(1, 1000));
-  load.m_talk = Duration(*rc::gen::inRange(1, 400));
+  load.m_messageDelay = Duration(*rc::gen::inRange(1, 400));
   load.m_lost = *rc::gen::inRange(0, 4) * 0.1;
   const bool starts = *rc::gen::arbitrary<bool>();
-  load.m_startEvery = Duration(starts ? *rc::gen::inRange(1500, 5000) : 0);
+  load.m_restartEvery = Duration(starts ? *rc::gen::inRange(1500, 5000) : 0);
   World world(load, *rc::gen::arbitrary<std::uint64_t>());
   world.Play();
   // A crash stays unknown if the only instance that saw it restarts, and a
@@ -394,7 +396,7 @@
     return std::any_of(m_instances.begin(),
                        m_instances.end(),
                        [this](const Quarantine& aInstance) {
-                         return aInstance.IsHeld(kDeadly);
+                         return aInstance.IsQuarantined(kCrashingCall);
                        });
   }
 
@@ -405,9 +407,9 @@
     std::size_t m_upstream = 0;
     Instant m_until;
   };
-  struct Word
+  struct Message
   {
-    Ending m_ending;
+    CrashRecord m_record;
     Instant m_at;
   };
 
@@ -420,7 +422,7 @@
       }
     }
     const std::size_t at = m_random() % m_instances.size();
-    if (m_instances[at].IsHeld(kDeadly) && !MayTry(at)) {
+    if (m_instances[at].IsQuarantined(kCrashingCall) && !MayTry(at)) {
       ++m_refused;
     } else if (!up.empty()) {
       m_runs.push_back(
@@ -431,7 +433,7 @@
   bool MayTry(std::size_t aInstance)
   {
     if (aInstance != 0 || m_now < m_nextTry ||
-        !m_instances[0].IsDoubted(kDeadly, m_now)) {
+        !m_instances[0].IsDoubted(kCrashingCall, m_now)) {
       return false;
     }
     m_nextTry = m_now + kTryEvery;
@@ -445,7 +447,7 @@
       m_up[ended] = false;
       std::erase_if(m_runs, [&](const Run& aRun) {
         if (aRun.m_upstream == ended) {
-          Note(aRun.m_instance, { kDeadly, ended });
+          Note(aRun.m_instance, { kCrashingCall, ended });
         }
         return aRun.m_upstream == ended;
       });
@@ -458,28 +460,28 @@
       if (aRun.m_until > m_now) {
         return false;
       }
-      for (const Ending& cleared :
-           m_instances[aRun.m_instance].NoteServed(kDeadly)) {
-        m_words.push_back({ cleared, m_now + m_load.m_talk });
+      for (const CrashRecord& cleared :
+           m_instances[aRun.m_instance].NoteServed(kCrashingCall)) {
+        m_messages.push_back({ cleared, m_now + m_load.m_messageDelay });
       }
       return true;
     });
   }
 
-  void Note(std::size_t aInstance, const Ending& aEnding)
+  void Note(std::size_t aInstance, const CrashRecord& aEnding)
   {
     m_instances[aInstance].Note(aEnding, m_now);
-    m_words.push_back({ aEnding, m_now + m_load.m_talk });
+    m_messages.push_back({ aEnding, m_now + m_load.m_messageDelay });
   }
 
   void Deliver()
   {
-    std::erase_if(m_words, [this](const Word& aWord) {
+    std::erase_if(m_messages, [this](const Message& aWord) {
       if (aWord.m_at > m_now) {
         return false;
       }
       for (Quarantine& instance : m_instances) {
-        instance.Note(aWord.m_ending, m_now);
+        instance.Note(aWord.m_record, m_now);
       }
       return true;
     });
@@ -492,19 +494,21 @@
   std::vector<bool> m_up;
   int m_ends;
   std::vector<Run> m_runs;
-  std::vector<Word> m_words;
+  std::vector<Message> m_messages;
   Instant m_nextTry;
   int m_refused = 0;
 };
 
-RC_GTEST_PROP(PopularCallsProperty, EndsByChanceHoldNoCallThatRunsWell, ())
+RC_GTEST_PROP(PopularCallsProperty,
+              ChanceCrashesQuarantineNoHarmlessCallForLong,
+              ())
 {
   Load load;
   load.m_instances = *rc::gen::inRange(1, 10);
   load.m_upstreams = *rc::gen::inRange(2, 13);
   load.m_callEvery = Duration(*rc::gen::inRange(1, 50));
   load.m_runsFor = Duration(*rc::gen::inRange(1, 200));
-  load.m_talk = Duration(*rc::gen::inRange(1, 100));
+  load.m_messageDelay = Duration(*rc::gen::inRange(1, 100));
   load.m_length = Duration{ 40'000 };
   const int ends = std::min(*rc::gen::inRange(1, 6), load.m_upstreams - 1);
   PopularWorld world(load, ends, *rc::gen::arbitrary<std::uint64_t>());
@@ -513,8 +517,8 @@
   // Several crashes at once quarantine the call until a run in progress
   // completes successfully, or until a call arrives at the one instance that
   // may test it.
-  const Duration doubt = Quarantine::kDoubtFor + load.m_runsFor +
-                         2 * load.m_talk +
+  const Duration doubt = Quarantine::kDoubtedAfter + load.m_runsFor +
+                         2 * load.m_messageDelay +
                          20 * load.m_instances * load.m_callEvery;
   RC_ASSERT(world.Refused() <= doubt / load.m_callEvery + 1);
 }
--- a/tests/soak/DeadlyCallTest.cpp
+++ b/tests/soak/DeadlyCallTest.cpp
@@ -22,7 +22,7 @@
 constexpr int kMostLateRuns = 3;
 /** From the kill of all to the first that serves, with some to spare. */
 constexpr Duration kStart{ 2000 };
-constexpr int kEndsToHold = 3;
+constexpr int kCrashesToQuarantine = 3;
 /** Those that hold the call, what was begun until all know of them, and one
  * whose only witness was killed. */
 constexpr int kMostEnds = 7;
@@ -83,7 +83,7 @@
     if (m_workers[aAt] == nullptr || m_workers[aAt]->Id() != aId) {
       return; // Another run of the call has ended it.
     }
-    if (++m_ends == kEndsToHold) {
+    if (++m_ends == kCrashesToQuarantine) {
       m_thirdEnd = m_loop->Now();
     }
     m_workers[aAt].reset();
