--- a/bench/CapacityMain.cpp
+++ b/bench/CapacityMain.cpp
@@ -24,7 +24,7 @@
 
 /** A hall of instances and engines, with the settings of production. */
 Json
-HallPlan(int aInstances, int aEngines, std::int64_t aTokenMs = 1000)
+DataCentrePlan(int aInstances, int aEngines, std::int64_t aTokenMs = 1000)
 {
   Json engines = Json::array();
   for (int i = 0; i < aEngines; ++i) {
@@ -143,7 +143,7 @@
   Json out = Json::array();
   for (int peers : { 2, 8, 24, 45, 90 }) {
     std::fprintf(stderr, "peers: %d\n", peers);
-    Measurement run(aPlace, HallPlan(peers, 0));
+    Measurement run(aPlace, DataCentrePlan(peers, 0));
     if (!run.Start()) {
       out.push_back({ { "instances", peers }, { "failed", true } });
       continue;
@@ -163,7 +163,7 @@
   for (int instances : { 2, 16 }) {
     for (int engines : { 12, 50, 100 }) {
       std::fprintf(stderr, "engines: %d at %d\n", engines, instances);
-      Measurement run(aPlace, HallPlan(instances, engines));
+      Measurement run(aPlace, DataCentrePlan(instances, engines));
       Json point{ { "failed", true } };
       if (run.Start()) {
         run.Wait(kWarmUp);
@@ -178,18 +178,18 @@
 }
 
 Json
-MeasureTeams(const session::RunPlace& aPlace)
+MeasureOrganisations(const session::RunPlace& aPlace)
 {
   Json out = Json::array();
-  for (int teams : { 10, 500, 1500 }) {
-    std::fprintf(stderr, "teams: %d\n", teams);
-    Measurement run(aPlace, HallPlan(2, 0));
+  for (int organisations : { 10, 500, 1500 }) {
+    std::fprintf(stderr, "teams: %d\n", organisations);
+    Measurement run(aPlace, DataCentrePlan(2, 0));
     if (!run.Start()) {
-      out.push_back({ { "teams", teams }, { "failed", true } });
+      out.push_back({ { "teams", organisations }, { "failed", true } });
       continue;
     }
     Json put = Json::array();
-    for (int i = 0; i < teams; ++i) {
+    for (int i = 0; i < organisations; ++i) {
       put.push_back(
         { { "kind", "team" },
           { "name", "team-" + std::to_string(i) },
@@ -203,7 +203,7 @@
       nlohmann::json::parse(
         Json{ { "reason", "teams" }, { "put", put } }.dump()));
     run.Wait(kWarmUp);
-    out.push_back({ { "teams", teams },
+    out.push_back({ { "teams", organisations },
                     { "rssMbBefore", before },
                     { "rssMbAfter", SampleProcess(pid).m_rssMb } });
   }
@@ -217,7 +217,7 @@
   Json out = Json::array();
   for (int streams : { 20, 100, 200 }) {
     std::fprintf(stderr, "streams: %d\n", streams);
-    Measurement run(aPlace, HallPlan(1, 4, kTokenMs));
+    Measurement run(aPlace, DataCentrePlan(1, 4, kTokenMs));
     if (!run.Start()) {
       out.push_back({ { "streams", streams }, { "failed", true } });
       continue;
@@ -287,7 +287,7 @@
 Json
 MeasureTakeover(const session::RunPlace& aPlace, int aSignal)
 {
-  Measurement run(aPlace, HallPlan(3, 1));
+  Measurement run(aPlace, DataCentrePlan(3, 1));
   if (!run.Start()) {
     return { { "failed", true } };
   }
@@ -314,7 +314,7 @@
 Json
 MeasureReady(const session::RunPlace& aPlace, bool aTableUp)
 {
-  Measurement run(aPlace, HallPlan(3, 1));
+  Measurement run(aPlace, DataCentrePlan(3, 1));
   if (!run.Start()) {
     return { { "failed", true } };
   }
@@ -335,7 +335,7 @@
 MeasureChanges(const session::RunPlace& aPlace)
 {
   constexpr int kChanges = 10;
-  Measurement run(aPlace, HallPlan(24, 0));
+  Measurement run(aPlace, DataCentrePlan(24, 0));
   if (!run.Start()) {
     return { { "failed", true } };
   }
@@ -343,11 +343,11 @@
   const std::vector<std::string> names = cluster.Instances();
   Json out = Json::array();
   for (int i = 0; i < kChanges; ++i) {
-    const nlohmann::json team = { { "kind", "team" },
-                                  { "name", "t" + std::to_string(i) } };
+    const nlohmann::json organisation = { { "kind", "team" },
+                                          { "name", "t" + std::to_string(i) } };
     const auto& via = names[static_cast<std::size_t>(i) % names.size()];
-    const net::HttpResponse answer =
-      cluster.PostChange(via, { { "reason", "measure" }, { "put", { team } } });
+    const net::HttpResponse answer = cluster.PostChange(
+      via, { { "reason", "measure" }, { "put", { organisation } } });
     const auto revision =
       nlohmann::json::parse(answer.m_body).at("revision").get<int>();
     std::size_t done = 0;
@@ -371,7 +371,7 @@
   Json out;
   out["peers"] = MeasurePeers(aPlace);
   out["engines"] = MeasureEngines(aPlace);
-  out["teams"] = MeasureTeams(aPlace);
+  out["teams"] = MeasureOrganisations(aPlace);
   out["streams"] = MeasureStreams(aPlace);
   std::fprintf(stderr, "recovery\n");
   out["takeoverAfterKillMs"] = MeasureTakeover(aPlace, SIGKILL);
--- a/packages/authority/include/ridgeferry/authority/Lease.h
+++ b/packages/authority/include/ridgeferry/authority/Lease.h
@@ -59,14 +59,14 @@
 };
 
 std::string
-LeaseKey(std::string_view aHall);
+LeaseKey(std::string_view aDataCentre);
 /**
  * Returns the key of a data centre's fence row. The fence row changes only when
  * the lease is acquired, so a transaction can be made conditional on "the
  * holder is still the same" without conflicting with the holder's own renewals.
  */
 std::string
-FenceKey(std::string_view aHall);
+FenceKey(std::string_view aDataCentre);
 
 std::string
 EncodeLease(const LeaseRow& aRow);
@@ -141,7 +141,7 @@
    * would otherwise be most of the store's load. 0: such a process reads once,
    * at its start, and not again until it contends.
    */
-  int m_seldom = 10;
+  int m_idlePollFactor = 10;
 };
 
 /**
@@ -170,7 +170,7 @@
 class Lease
 {
 public:
-  Lease(std::string aHall, std::string aProcess, LeaseTimes aTimes = {});
+  Lease(std::string aDataCentre, std::string aProcess, LeaseTimes aTimes = {});
 
   /** Processes one event and returns the actions to execute, in order. */
   std::vector<LeaseAction> Handle(const LeaseEvent& aEvent, Instant aNow);
@@ -213,10 +213,10 @@
   void NoteRow(const table::Row& aLease, const LeaseRow& aRow, Instant aNow);
   void Confirm(const OpenWrite& aWrite, Instant aNow, Actions& aActions);
   void Drop(Actions& aActions);
-  bool MayTake(Instant aNow) const;
-  void Write(LeaseRow aRow, bool aTakes, Instant aNow, Actions& aActions);
+  bool MayAcquire(Instant aNow) const;
+  void Write(LeaseRow aRow, bool aAcquires, Instant aNow, Actions& aActions);
 
-  std::string m_hall;
+  std::string m_dataCentre;
   std::string m_process;
   LeaseTimes m_times;
 
@@ -239,7 +239,7 @@
    * Until then a holder whose acquisition was lost when the store was restored
    * may still believe in its authority, so no process may acquire the lease.
    */
-  std::optional<Instant> m_nobodyTakesUntil;
+  std::optional<Instant> m_noAcquisitionUntil;
 
   std::optional<OpenWrite> m_open;
   std::uint64_t m_lastAttempt = 0;
--- a/packages/authority/include/ridgeferry/authority/Order.h
+++ b/packages/authority/include/ridgeferry/authority/Order.h
@@ -56,7 +56,7 @@
 };
 
 std::string
-OrderKey(std::string_view aHall, std::string_view aEngine);
+OrderKey(std::string_view aDataCentre, std::string_view aEngine);
 std::string
 EncodeOrder(const Order& aOrder);
 tl::expected<Order, std::string>
--- a/packages/authority/include/ridgeferry/authority/OrderDesk.h
+++ b/packages/authority/include/ridgeferry/authority/OrderController.h
@@ -71,16 +71,16 @@
 {
   std::string m_sender;
 };
-struct DeskTick
+struct OrderTick
 {};
-using DeskEvent = std::variant<AuthorityChanged,
-                               TargetSet,
-                               StateReported,
-                               OrderRowRead,
-                               OrderWritten,
-                               OrderAnswered,
-                               SenderEnded,
-                               DeskTick>;
+using OrderEvent = std::variant<AuthorityChanged,
+                                TargetSet,
+                                StateReported,
+                                OrderRowRead,
+                                OrderWritten,
+                                OrderAnswered,
+                                SenderEnded,
+                                OrderTick>;
 
 /** Asks the driver to read the order row of an engine. */
 struct ReadOrderRow
@@ -107,7 +107,7 @@
   Order m_order;
   table::Transaction m_transaction;
 };
-using DeskAction =
+using OrderAction =
   std::variant<ReadOrderRow, RecordOrder, SendOrder, SettleOrder>;
 
 /**
@@ -134,16 +134,16 @@
  * The class does no input or output: `Handle` returns the actions that its
  * caller must execute. Not thread-safe.
  */
-class OrderDesk
+class OrderController
 {
 public:
-  static constexpr Duration kSilence{ 10'000 };
-  static constexpr Duration kRetryTable{ 1000 };
+  static constexpr Duration kUnresponsiveTime{ 10'000 };
+  static constexpr Duration kStoreRetryInterval{ 1000 };
 
-  OrderDesk(std::string aHall, std::string aProcess);
+  OrderController(std::string aDataCentre, std::string aProcess);
 
   /** Processes one event and returns the actions to execute, in order. */
-  std::vector<DeskAction> Handle(const DeskEvent& aEvent, Instant aNow);
+  std::vector<OrderAction> Handle(const OrderEvent& aEvent, Instant aNow);
 
   /**
    * Returns the open order of an engine; std::nullopt if the engine's order row
@@ -159,7 +159,7 @@
   bool IsBusy(std::string_view aEngine) const;
 
 private:
-  using Actions = std::vector<DeskAction>;
+  using Actions = std::vector<OrderAction>;
 
   /** Progress of the current order of one engine. */
   enum class Step
@@ -174,7 +174,7 @@
   };
 
   /** How an order that can have no further effect is settled. */
-  struct Verdict
+  struct Settlement
   {
     bool m_taken = false;
     std::string m_how;
@@ -191,13 +191,13 @@
     Order m_order;
     std::string m_lastSent; ///< Id of the order last passed to the driver.
     /** How to settle `m_order`; std::nullopt if this is not known yet. */
-    std::optional<Verdict> m_verdict;
+    std::optional<Settlement> m_settlement;
     /**
      * Since when `m_order` can no longer be sent, so that it is settled unless
      * the engine reports it within `kUnresponsiveTime`; std::nullopt if its
      * sender may still send it.
      */
-    std::optional<Instant> m_silentSince;
+    std::optional<Instant> m_cannotBeSentSince;
     Instant m_retryAt;
   };
 
@@ -222,10 +222,10 @@
               OrderKind aKind,
               Actions& aActions);
   void Send(Engine& aEngine, Actions& aActions);
-  void Settle(Engine& aEngine, Verdict aVerdict, Actions& aActions);
+  void Settle(Engine& aEngine, Settlement aSettlement, Actions& aActions);
   void SettleIfEvident(Engine& aEngine, Instant aNow, Actions& aActions);
 
-  std::string m_hall;
+  std::string m_dataCentre;
   std::string m_process;
   bool m_hasAuthority = false;
   FencingNumber m_fencing = 0;
--- a/packages/authority/src/Lease.cpp
+++ b/packages/authority/src/Lease.cpp
@@ -7,15 +7,15 @@
 namespace ridgeferry::authority {
 
 std::string
-LeaseKey(std::string_view aHall)
+LeaseKey(std::string_view aDataCentre)
 {
-  return "lease/" + std::string(aHall);
+  return "lease/" + std::string(aDataCentre);
 }
 
 std::string
-FenceKey(std::string_view aHall)
+FenceKey(std::string_view aDataCentre)
 {
-  return "fence/" + std::string(aHall);
+  return "fence/" + std::string(aDataCentre);
 }
 
 std::string
@@ -47,8 +47,8 @@
   }
 }
 
-Lease::Lease(std::string aHall, std::string aProcess, LeaseTimes aTimes)
-  : m_hall(std::move(aHall))
+Lease::Lease(std::string aDataCentre, std::string aProcess, LeaseTimes aTimes)
+  : m_dataCentre(std::move(aDataCentre))
   , m_process(std::move(aProcess))
   , m_times(aTimes)
 {
@@ -100,13 +100,13 @@
   if (m_holds || m_resigned) {
     return;
   }
-  if (aTick.m_contends && MayTake(aNow)) {
+  if (aTick.m_contends && MayAcquire(aNow)) {
     const FencingNumber next =
       NextFencing(m_seen.m_fencing, m_generation.value_or(0));
     Write({ m_process, next, 0, false }, true, aNow, aActions);
     return;
   }
-  if (!aTick.m_contends && m_times.m_seldom == 0 && m_hasRead) {
+  if (!aTick.m_contends && m_times.m_idlePollFactor == 0 && m_hasRead) {
     // By the time this process contends, the row that it has seen may be long
     // out of date, so the process must read the row again first.
     m_unchangedSince.reset();
@@ -116,15 +116,15 @@
   if (aNow >= m_nextRead.value_or(aNow)) {
     m_nextRead =
       aNow + m_times.m_pollEvery *
-               (aTick.m_contends ? 1 : std::max(1, m_times.m_seldom));
+               (aTick.m_contends ? 1 : std::max(1, m_times.m_idlePollFactor));
     aActions.emplace_back(ReadLease{});
   }
 }
 
 bool
-Lease::MayTake(Instant aNow) const
+Lease::MayAcquire(Instant aNow) const
 {
-  if (!m_unchangedSince || aNow < m_nobodyTakesUntil.value_or(aNow)) {
+  if (!m_unchangedSince || aNow < m_noAcquisitionUntil.value_or(aNow)) {
     return false;
   }
   const bool free = m_seen.m_holder.empty() || m_seen.m_released;
@@ -143,7 +143,7 @@
   if (aGeneration == 0) {
     return; // The store was never restored from an older copy.
   }
-  m_nobodyTakesUntil = aNow + m_times.m_term + m_times.m_margin;
+  m_noAcquisitionUntil = aNow + m_times.m_term + m_times.m_margin;
   m_open.reset();
   m_unchangedSince.reset();
   m_nextRead.reset();
@@ -261,15 +261,16 @@
 }
 
 void
-Lease::Write(LeaseRow aRow, bool aTakes, Instant aNow, Actions& aActions)
+Lease::Write(LeaseRow aRow, bool aAcquires, Instant aNow, Actions& aActions)
 {
   aRow.m_beat = ++m_lastAttempt;
   table::Transaction write;
-  write.m_conditions.push_back({ LeaseKey(m_hall), m_seenVersion });
-  write.m_puts.push_back({ LeaseKey(m_hall), EncodeLease(aRow) });
-  if (aTakes) {
-    write.m_conditions.push_back({ FenceKey(m_hall), m_seenFenceVersion });
-    write.m_puts.push_back({ FenceKey(m_hall), EncodeLease(aRow) });
+  write.m_conditions.push_back({ LeaseKey(m_dataCentre), m_seenVersion });
+  write.m_puts.push_back({ LeaseKey(m_dataCentre), EncodeLease(aRow) });
+  if (aAcquires) {
+    write.m_conditions.push_back(
+      { FenceKey(m_dataCentre), m_seenFenceVersion });
+    write.m_puts.push_back({ FenceKey(m_dataCentre), EncodeLease(aRow) });
   }
   m_open = OpenWrite{ m_lastAttempt, aNow, std::move(aRow), false };
   aActions.emplace_back(WriteLease{ m_lastAttempt, std::move(write) });
--- a/packages/authority/src/Order.cpp
+++ b/packages/authority/src/Order.cpp
@@ -45,9 +45,9 @@
 } // namespace
 
 std::string
-OrderKey(std::string_view aHall, std::string_view aEngine)
+OrderKey(std::string_view aDataCentre, std::string_view aEngine)
 {
-  return "order/" + std::string(aHall) + "/" + std::string(aEngine);
+  return "order/" + std::string(aDataCentre) + "/" + std::string(aEngine);
 }
 
 std::string_view
--- a/packages/authority/src/OrderDesk.cpp
+++ b/packages/authority/src/OrderController.cpp
@@ -1,4 +1,4 @@
-#include "ridgeferry/authority/OrderDesk.h"
+#include "ridgeferry/authority/OrderController.h"
 
 #include <ridgeferry/base/Overloaded.h>
 
@@ -20,14 +20,14 @@
 
 } // namespace
 
-OrderDesk::OrderDesk(std::string aHall, std::string aProcess)
-  : m_hall(std::move(aHall))
+OrderController::OrderController(std::string aDataCentre, std::string aProcess)
+  : m_dataCentre(std::move(aDataCentre))
   , m_process(std::move(aProcess))
 {
 }
 
-std::vector<DeskAction>
-OrderDesk::Handle(const DeskEvent& aEvent, Instant aNow)
+std::vector<OrderAction>
+OrderController::Handle(const OrderEvent& aEvent, Instant aNow)
 {
   Actions actions;
   std::visit(
@@ -45,7 +45,7 @@
         OnAnswered(aAnswered, aNow, actions);
       },
       [&](const SenderEnded& aEnded) { OnSenderEnded(aEnded, aNow); },
-      [](const DeskTick&) {} },
+      [](const OrderTick&) {} },
     aEvent);
   for (auto& [name, engine] : m_engines) {
     Advance(name, engine, aNow, actions);
@@ -54,7 +54,7 @@
 }
 
 std::optional<Order>
-OrderDesk::OpenOrder(std::string_view aEngine) const
+OrderController::OpenOrder(std::string_view aEngine) const
 {
   const auto it = m_engines.find(aEngine);
   if (it == m_engines.end() || it->second.m_order.m_id.empty() ||
@@ -65,7 +65,7 @@
 }
 
 bool
-OrderDesk::IsBusy(std::string_view aEngine) const
+OrderController::IsBusy(std::string_view aEngine) const
 {
   const auto it = m_engines.find(aEngine);
   if (it == m_engines.end() || !it->second.m_state || !it->second.m_target) {
@@ -80,7 +80,7 @@
 }
 
 void
-OrderDesk::OnAuthority(const AuthorityChanged& aChanged)
+OrderController::OnAuthority(const AuthorityChanged& aChanged)
 {
   const bool newTerm = aChanged.m_has && aChanged.m_fencing != m_fencing;
   m_hasAuthority = aChanged.m_has;
@@ -101,9 +101,9 @@
 }
 
 void
-OrderDesk::OnState(const StateReported& aReport,
-                   Instant aNow,
-                   Actions& aActions)
+OrderController::OnState(const StateReported& aReport,
+                         Instant aNow,
+                         Actions& aActions)
 {
   Engine& engine = m_engines[aReport.m_engine];
   engine.m_state = aReport.m_state;
@@ -111,7 +111,9 @@
 }
 
 void
-OrderDesk::SettleIfEvident(Engine& aEngine, Instant aNow, Actions& aActions)
+OrderController::SettleIfEvident(Engine& aEngine,
+                                 Instant aNow,
+                                 Actions& aActions)
 {
   if (aEngine.m_step != Step::Waiting || !aEngine.m_state) {
     return;
@@ -120,13 +122,16 @@
     Settle(aEngine, { true, "carried out" }, aActions);
     return;
   }
-  if (aEngine.m_silentSince && aNow - *aEngine.m_silentSince >= kSilence) {
+  if (aEngine.m_cannotBeSentSince &&
+      aNow - *aEngine.m_cannotBeSentSince >= kUnresponsiveTime) {
     Settle(aEngine, { false, "never arrived" }, aActions);
   }
 }
 
 void
-OrderDesk::OnRow(const OrderRowRead& aRead, Instant aNow, Actions& aActions)
+OrderController::OnRow(const OrderRowRead& aRead,
+                       Instant aNow,
+                       Actions& aActions)
 {
   const auto it = m_engines.find(aRead.m_engine);
   if (it == m_engines.end() || it->second.m_step != Step::Reading) {
@@ -135,7 +140,7 @@
   Engine& engine = it->second;
   engine.m_step = Step::Unread;
   if (aRead.m_result.m_status != table::ReadStatus::Ok) {
-    engine.m_retryAt = aNow + kRetryTable;
+    engine.m_retryAt = aNow + kStoreRetryInterval;
     return;
   }
   engine.m_version = aRead.m_result.m_row.m_version;
@@ -146,21 +151,21 @@
   }
   const auto order = DecodeOrder(aRead.m_result.m_row.m_value);
   if (!order) {
-    engine.m_retryAt = aNow + kRetryTable;
+    engine.m_retryAt = aNow + kStoreRetryInterval;
     return;
   }
   if (order->m_id != engine.m_order.m_id) {
-    engine.m_verdict.reset();
-    engine.m_silentSince.reset();
+    engine.m_settlement.reset();
+    engine.m_cannotBeSentSince.reset();
   }
   engine.m_order = *order;
   if (order->m_settled) {
     engine.m_step = Step::Idle;
     return;
   }
-  if (engine.m_verdict) {
+  if (engine.m_settlement) {
     // The settlement did not reach the store, so it is written again.
-    Settle(engine, *engine.m_verdict, aActions);
+    Settle(engine, *engine.m_settlement, aActions);
     return;
   }
   if (order->m_sender == m_process && engine.m_lastSent != order->m_id) {
@@ -171,14 +176,14 @@
   }
   engine.m_step = Step::Waiting;
   const auto ended = m_endedSenders.find(order->m_sender);
-  if (ended != m_endedSenders.end() && !engine.m_silentSince) {
-    engine.m_silentSince = ended->second;
+  if (ended != m_endedSenders.end() && !engine.m_cannotBeSentSince) {
+    engine.m_cannotBeSentSince = ended->second;
   }
   SettleIfEvident(engine, aNow, aActions);
 }
 
 void
-OrderDesk::Send(Engine& aEngine, Actions& aActions)
+OrderController::Send(Engine& aEngine, Actions& aActions)
 {
   if (!m_hasAuthority || aEngine.m_order.m_fencing != m_fencing) {
     Settle(aEngine, { false, "never sent" }, aActions);
@@ -190,9 +195,9 @@
 }
 
 void
-OrderDesk::OnWritten(const OrderWritten& aWritten,
-                     Instant aNow,
-                     Actions& aActions)
+OrderController::OnWritten(const OrderWritten& aWritten,
+                           Instant aNow,
+                           Actions& aActions)
 {
   const auto it = m_engines.find(aWritten.m_engine);
   if (it == m_engines.end() || it->second.m_order.m_id != aWritten.m_orderId) {
@@ -213,14 +218,14 @@
   // result. In each case the row must be read to learn its content.
   engine.m_step = Step::Unread;
   engine.m_retryAt = aWritten.m_result == table::CommitResult::NotWritten
-                       ? aNow + kRetryTable
+                       ? aNow + kStoreRetryInterval
                        : aNow;
 }
 
 void
-OrderDesk::OnAnswered(const OrderAnswered& aAnswered,
-                      Instant aNow,
-                      Actions& aActions)
+OrderController::OnAnswered(const OrderAnswered& aAnswered,
+                            Instant aNow,
+                            Actions& aActions)
 {
   const auto it = m_engines.find(aAnswered.m_engine);
   if (it == m_engines.end() || it->second.m_order.m_id != aAnswered.m_orderId ||
@@ -240,36 +245,38 @@
       return;
     case SendResult::Lost:
       engine.m_step = Step::Waiting;
-      engine.m_silentSince = aNow;
+      engine.m_cannotBeSentSince = aNow;
       SettleIfEvident(engine, aNow, aActions);
       return;
   }
 }
 
 void
-OrderDesk::OnSenderEnded(const SenderEnded& aEnded, Instant aNow)
+OrderController::OnSenderEnded(const SenderEnded& aEnded, Instant aNow)
 {
   m_endedSenders.try_emplace(aEnded.m_sender, aNow);
   for (auto& [name, engine] : m_engines) {
     const bool waits = engine.m_step == Step::Waiting &&
                        engine.m_order.m_sender == aEnded.m_sender;
-    if (waits && !engine.m_silentSince) {
-      engine.m_silentSince = aNow;
+    if (waits && !engine.m_cannotBeSentSince) {
+      engine.m_cannotBeSentSince = aNow;
     }
   }
 }
 
 void
-OrderDesk::Settle(Engine& aEngine, Verdict aVerdict, Actions& aActions)
+OrderController::Settle(Engine& aEngine,
+                        Settlement aSettlement,
+                        Actions& aActions)
 {
   aEngine.m_step = Step::Settling;
   Order settled = aEngine.m_order;
   settled.m_settled = true;
-  settled.m_taken = aVerdict.m_taken;
-  settled.m_how = aVerdict.m_how;
-  aEngine.m_verdict = std::move(aVerdict);
+  settled.m_taken = aSettlement.m_taken;
+  settled.m_how = aSettlement.m_how;
+  aEngine.m_settlement = std::move(aSettlement);
   table::Transaction write;
-  const std::string key = OrderKey(m_hall, settled.m_engine);
+  const std::string key = OrderKey(m_dataCentre, settled.m_engine);
   // The transaction is not conditional on the fence row, because a process that
   // has lost the lease may also settle an order that can have no further
   // effect.
@@ -279,10 +286,10 @@
 }
 
 void
-OrderDesk::Advance(const std::string& aName,
-                   Engine& aEngine,
-                   Instant aNow,
-                   Actions& aActions)
+OrderController::Advance(const std::string& aName,
+                         Engine& aEngine,
+                         Instant aNow,
+                         Actions& aActions)
 {
   // A row that holds an open order of this process is also read without
   // authority, so that the order is still settled after the lease was lost.
@@ -311,10 +318,10 @@
 }
 
 void
-OrderDesk::Read(const std::string& aName,
-                Engine& aEngine,
-                Instant aNow,
-                Actions& aActions)
+OrderController::Read(const std::string& aName,
+                      Engine& aEngine,
+                      Instant aNow,
+                      Actions& aActions)
 {
   if (aNow < aEngine.m_retryAt) {
     return;
@@ -324,10 +331,10 @@
 }
 
 void
-OrderDesk::Record(const std::string& aName,
-                  Engine& aEngine,
-                  OrderKind aKind,
-                  Actions& aActions)
+OrderController::Record(const std::string& aName,
+                        Engine& aEngine,
+                        OrderKind aKind,
+                        Actions& aActions)
 {
   Order order;
   order.m_id = m_process + "-" + std::to_string(++m_lastOrder);
@@ -337,13 +344,13 @@
   order.m_boot = aEngine.m_state->m_bootId;
   order.m_kind = std::move(aKind);
   table::Transaction write;
-  const std::string key = OrderKey(m_hall, aName);
-  write.m_conditions.push_back({ FenceKey(m_hall), m_fenceVersion });
+  const std::string key = OrderKey(m_dataCentre, aName);
+  write.m_conditions.push_back({ FenceKey(m_dataCentre), m_fenceVersion });
   write.m_conditions.push_back({ key, aEngine.m_version });
   write.m_puts.push_back({ key, EncodeOrder(order) });
   aEngine.m_order = order;
-  aEngine.m_verdict.reset();
-  aEngine.m_silentSince.reset();
+  aEngine.m_settlement.reset();
+  aEngine.m_cannotBeSentSince.reset();
   aEngine.m_step = Step::Recording;
   aActions.emplace_back(RecordOrder{ std::move(order), std::move(write) });
 }
--- a/packages/authority/tests/LeaseCopyTest.cpp
+++ b/packages/authority/tests/LeaseCopyTest.cpp
@@ -64,9 +64,9 @@
   }
 
   /** Copies the current content of the store. */
-  void KeepCopy() { m_copy = m_table; }
+  void CopyStore() { m_copy = m_table; }
   /** Restores the store from the last copy, in a new generation. */
-  void ComeBackFromCopy()
+  void RestoreCopy()
   {
     m_table = m_copy;
     ++m_generation;
@@ -97,16 +97,16 @@
     m_loses = aLoses;
     for (std::size_t i = 0; i < kProcesses; ++i) {
       Deliver(i);
-      Carry(i, m_leases[i]->Handle(LeaseTick{}, m_now));
+      Execute(i, m_leases[i]->Handle(LeaseTick{}, m_now));
     }
     Check();
   }
 
   /** Returns whether at most one process held authority at any time. */
-  bool NeverTwo() const { return m_neverTwo; }
+  bool HadAtMostOneHolder() const { return m_hadAtMostOneHolder; }
   /** Returns whether each acquisition had a higher number than all before. */
   bool FencingRises() const { return m_fencingRises; }
-  std::size_t Takings() const { return m_takings; }
+  std::size_t Acquisitions() const { return m_acquisitions; }
 
 private:
   /** A call in transit: the call reaches the store, then the answer returns. */
@@ -119,11 +119,11 @@
     std::optional<LeaseEvent> m_answer;
   };
 
-  void Carry(std::size_t aWho, const std::vector<LeaseAction>& aActions)
+  void Execute(std::size_t aWho, const std::vector<LeaseAction>& aActions)
   {
     for (const LeaseAction& action : aActions) {
       if (const auto* gained = std::get_if<AuthorityGained>(&action)) {
-        ++m_takings;
+        ++m_acquisitions;
         // A process that regains its authority because its own renewal was
         // confirmed keeps the number that it had.
         const bool isBack =
@@ -154,9 +154,9 @@
         continue;
       }
       const bool isLost = call.m_isLost || IsCutOff(aWho);
-      Carry(aWho,
-            m_leases[aWho]->Handle(isLost ? Unanswered(call) : *call.m_answer,
-                                   m_now));
+      Execute(aWho,
+              m_leases[aWho]->Handle(isLost ? Unanswered(call) : *call.m_answer,
+                                     m_now));
     }
   }
 
@@ -190,7 +190,7 @@
     for (const auto& lease : m_leases) {
       holders += lease->HasAuthority(m_now) ? 1 : 0;
     }
-    m_neverTwo = m_neverTwo && holders <= 1;
+    m_hadAtMostOneHolder = m_hadAtMostOneHolder && holders <= 1;
   }
 
   LeaseTimes m_times;
@@ -207,8 +207,8 @@
   Duration m_delay{};
   bool m_loses = false;
   FencingNumber m_highest = 0;
-  std::size_t m_takings = 0;
-  bool m_neverTwo = true;
+  std::size_t m_acquisitions = 0;
+  bool m_hadAtMostOneHolder = true;
   bool m_fencingRises = true;
 };
 
@@ -230,8 +230,8 @@
 // to 10 s old or older, while processes are cut off, end and start.
 TEST(LeaseCopyWorldTest, AtMostOneHoldsAndItsFencingNumberIsTheHighest)
 {
-  std::size_t takings = 0;
-  EXPECT_TRUE(rc::check("one holder", [&takings] {
+  std::size_t acquisitions = 0;
+  EXPECT_TRUE(rc::check("one holder", [&acquisitions] {
     World world(Times());
     const int returns = *rc::gen::inRange(0, 4);
     for (int i = 0; i <= returns; ++i) {
@@ -243,10 +243,10 @@
       const int endAt = backAt + *rc::gen::inRange(0, 20 * kSecond);
       for (int step = 0; step < endAt; ++step) {
         if (keeps && step == keepAt) {
-          world.KeepCopy();
+          world.CopyStore();
         }
         if (step == backAt && i < returns) {
-          world.ComeBackFromCopy();
+          world.RestoreCopy();
         }
         if (*rc::gen::inRange(0, 40) == 0) {
           world.CutOff(*rc::gen::inRange<std::size_t>(0, World::kProcesses),
@@ -259,30 +259,30 @@
                    *rc::gen::inRange(0, 10) == 0);
       }
     }
-    takings += world.Takings();
-    RC_ASSERT(world.NeverTwo());
+    acquisitions += world.Acquisitions();
+    RC_ASSERT(world.HadAtMostOneHolder());
     RC_ASSERT(world.FencingRises());
   }));
-  EXPECT_GT(takings, 0U) << "no process acquired the lease in any run";
+  EXPECT_GT(acquisitions, 0U) << "no process acquired the lease in any run";
 }
 
 /**
  * An event that names a generation of the store to the holder of the lease, and
  * whether the holder's authority must end.
  */
-struct HeardCase
+struct GenerationCase
 {
   const char* m_name;
   LeaseEvent m_event;
   bool m_ends;
 };
 
-class HeardGenerationTest : public ::testing::TestWithParam<HeardCase>
+class LaterGenerationTest : public ::testing::TestWithParam<GenerationCase>
 {};
 
 // Guards against a holder that keeps its authority for the rest of its term
 // although the store was restored from a copy that may lack its acquisition.
-TEST_P(HeardGenerationTest, AuthorityEndsAtOnce)
+TEST_P(LaterGenerationTest, AuthorityEndsAtOnce)
 {
   support::MemoryTable table;
   Lease lease("scope", "p", Times());
@@ -313,15 +313,15 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(
-  Words,
-  HeardGenerationTest,
-  ::testing::Values(HeardCase{ "Later", LeaseGeneration{ 1 }, true },
-                    HeardCase{ "TheSame", LeaseGeneration{ 0 }, false },
-                    HeardCase{ "LaterWithALease",
-                               LeaseRead{ { table::ReadStatus::Ok, {} },
-                                          { table::ReadStatus::Ok, {} },
-                                          1 },
-                               true }),
+  Events,
+  LaterGenerationTest,
+  ::testing::Values(GenerationCase{ "Later", LeaseGeneration{ 1 }, true },
+                    GenerationCase{ "TheSame", LeaseGeneration{ 0 }, false },
+                    GenerationCase{ "LaterWithALease",
+                                    LeaseRead{ { table::ReadStatus::Ok, {} },
+                                               { table::ReadStatus::Ok, {} },
+                                               1 },
+                                    true }),
   [](const auto& aInfo) { return std::string(aInfo.param.m_name); });
 
 } // namespace
--- a/packages/authority/tests/LeaseTest.cpp
+++ b/packages/authority/tests/LeaseTest.cpp
@@ -24,13 +24,13 @@
     const Instant end = m_now + aTime;
     while (m_now < end) {
       m_now += kTick;
-      Carry(aTable, m_lease.Handle(LeaseTick{}, m_now), aReadsFail);
+      Execute(aTable, m_lease.Handle(LeaseTick{}, m_now), aReadsFail);
     }
   }
 
-  void Carry(support::MemoryTable& aTable,
-             const std::vector<LeaseAction>& aActions,
-             bool aReadsFail)
+  void Execute(support::MemoryTable& aTable,
+               const std::vector<LeaseAction>& aActions,
+               bool aReadsFail)
   {
     for (const LeaseAction& action : aActions) {
       if (std::holds_alternative<ReadLease>(action)) {
@@ -39,15 +39,15 @@
           read = { { table::ReadStatus::Ok, aTable.Read(LeaseKey("hall")) },
                    { table::ReadStatus::Ok, aTable.Read(FenceKey("hall")) } };
         }
-        Carry(aTable, m_lease.Handle(read, m_now), aReadsFail);
+        Execute(aTable, m_lease.Handle(read, m_now), aReadsFail);
       }
       if (const auto* write = std::get_if<WriteLease>(&action)) {
         const auto result = aTable.Commit(write->m_transaction)
                               ? table::CommitResult::Committed
                               : table::CommitResult::Conflict;
-        Carry(aTable,
-              m_lease.Handle(LeaseWritten{ write->m_attempt, result }, m_now),
-              aReadsFail);
+        Execute(aTable,
+                m_lease.Handle(LeaseWritten{ write->m_attempt, result }, m_now),
+                aReadsFail);
       }
     }
   }
@@ -65,10 +65,10 @@
 // would be most of the store's calls. Such a process still reads once at its
 // start, because after all instances were lost no other process could tell it
 // who held the lease.
-TEST(LeaseTest, OneThatNeverContendsReadsOnce)
+TEST(LeaseTest, AProcessThatNeverContendsReadsOnce)
 {
   LeaseTimes times;
-  times.m_seldom = 0;
+  times.m_idlePollFactor = 0;
   Lease lease("hall", "p", times);
   Instant now{ Duration{ 1'000'000 } };
   const auto tick = [&](bool aContends) {
@@ -132,7 +132,7 @@
 
 // Guards against a holder that keeps its authority although it cannot renew its
 // lease, as all reads of the store fail.
-TEST(LeaseTest, LosesAuthorityWhenTheTableIsAway)
+TEST(LeaseTest, LosesAuthorityWhenTheStoreIsUnreachable)
 {
   support::MemoryTable table;
   LeaseHarness first("first");
@@ -144,7 +144,7 @@
 
 // Guards against two holders at the same time: a contender must not acquire the
 // lease before the row has stayed unchanged for a whole term and margin.
-TEST(LeaseTest, IsTakenOverOnlyAfterAWholeTermOfSilence)
+TEST(LeaseTest, IsTakenOverOnlyAfterAWholeTermWithoutRenewal)
 {
   const LeaseTimes times;
   support::MemoryTable table;
@@ -190,7 +190,7 @@
 // the lease again. If this second write had the same content as the first one,
 // a read from before the second write would confirm it, while another process
 // has seen the row unchanged for a whole term and may acquire the lease.
-TEST(LeaseTest, ARowOfAnEarlierTakingConfirmsNoLaterOne)
+TEST(LeaseTest, ARowOfAnEarlierAcquisitionConfirmsNoLaterOne)
 {
   support::MemoryTable table;
   Lease lease("hall", "first");
@@ -236,7 +236,8 @@
   LeaseHarness first("first");
   LeaseHarness second("second");
   first.RunFor(table, Duration{ 3000 }, false);
-  first.Carry(table, first.Machine().Handle(LeaseResign{}, first.Now()), false);
+  first.Execute(
+    table, first.Machine().Handle(LeaseResign{}, first.Now()), false);
   EXPECT_FALSE(first.Holds());
   second.RunFor(table, Duration{ 2000 }, false);
   EXPECT_TRUE(second.Holds());
--- a/packages/authority/tests/OrderDeskTest.cpp
+++ b/packages/authority/tests/OrderControllerTest.cpp
@@ -1,5 +1,5 @@
 #include <gtest/gtest.h>
-#include <ridgeferry/authority/OrderDesk.h>
+#include <ridgeferry/authority/OrderController.h>
 
 namespace ridgeferry::authority {
 namespace {
@@ -10,11 +10,11 @@
  * A controller that has authority, and one `decode` engine that should become
  * `prefill`.
  */
-class OrderDeskTest : public ::testing::Test
+class OrderControllerTest : public ::testing::Test
 {
 protected:
-  OrderDeskTest()
-    : m_desk("hall", "self")
+  OrderControllerTest()
+    : m_orderController("hall", "self")
   {
     m_state.m_bootId = "boot";
     m_state.m_role = "decode";
@@ -24,9 +24,10 @@
     Handle(StateReported{ "e", m_state });
   }
 
-  void Handle(const DeskEvent& aEvent, Duration aAfter = Duration{ 0 })
+  void Handle(const OrderEvent& aEvent, Duration aAfter = Duration{ 0 })
   {
-    for (const DeskAction& action : m_desk.Handle(aEvent, kStart + aAfter)) {
+    for (const OrderAction& action :
+         m_orderController.Handle(aEvent, kStart + aAfter)) {
       if (const auto* record = std::get_if<RecordOrder>(&action)) {
         m_recorded = record->m_order;
       }
@@ -46,7 +47,7 @@
              { table::ReadStatus::Ok, { "", 1, EncodeOrder(m_recorded) } } };
   }
 
-  OrderDesk m_desk;
+  OrderController m_orderController;
   EngineState m_state;
   Order m_recorded;
   std::vector<std::string> m_sent;
@@ -55,7 +56,7 @@
 
 // Guards against an order that is sent before the store has confirmed its
 // record: another planner could then record a conflicting order.
-TEST_F(OrderDeskTest, SendsOnlyWhatIsRecorded)
+TEST_F(OrderControllerTest, SendsOnlyWhatIsRecorded)
 {
   EXPECT_TRUE(m_sent.empty());
   Handle(OrderWritten{
@@ -65,7 +66,7 @@
 
 // If the answer to the recording write is lost, the order may or may not be
 // recorded. The order must not be sent until a read of the row shows it.
-TEST_F(OrderDeskTest, SendsAfterALostAnswerOnlyOnceTheRowSaysSo)
+TEST_F(OrderControllerTest, SendsAfterALostAnswerOnlyOnceTheRowSaysSo)
 {
   Handle(
     OrderWritten{ "e", m_recorded.m_id, false, table::CommitResult::Unknown });
@@ -76,7 +77,7 @@
 
 // Guards against an order that is sent twice: its answer is lost, and the
 // sender loses the lease, regains it and reads its own order in the row.
-TEST_F(OrderDeskTest, NeverSendsAnOrderAgainAfterRegainingTheLease)
+TEST_F(OrderControllerTest, NeverSendsAnOrderAgainAfterRegainingTheLease)
 {
   Handle(OrderWritten{
     "e", m_recorded.m_id, false, table::CommitResult::Committed });
@@ -98,11 +99,11 @@
 };
 
 class OrderEndTest
-  : public OrderDeskTest
+  : public OrderControllerTest
   , public ::testing::WithParamInterface<EndCase>
 {};
 
-TEST_P(OrderEndTest, IsSettledAsWhatItIs)
+TEST_P(OrderEndTest, IsSettledAsItsSendResultSays)
 {
   Handle(OrderWritten{
     "e", m_recorded.m_id, false, table::CommitResult::Committed });
@@ -121,14 +122,16 @@
 
 // Guards against a lost order that is settled too early, while it may still
 // reach the engine, or that stays open although it can no longer arrive.
-TEST_F(OrderDeskTest, SettlesALostOrderByTheEnginesWordOrByItsSilence)
+TEST_F(OrderControllerTest,
+       SettlesALostOrderByAReportOrAfterTheUnresponsiveTime)
 {
   Handle(OrderWritten{
     "e", m_recorded.m_id, false, table::CommitResult::Committed });
   Handle(OrderAnswered{ "e", m_recorded.m_id, SendResult::Lost });
-  Handle(StateReported{ "e", m_state }, OrderDesk::kSilence - Duration{ 1 });
+  Handle(StateReported{ "e", m_state },
+         OrderController::kUnresponsiveTime - Duration{ 1 });
   EXPECT_EQ(m_settled, "");
-  Handle(StateReported{ "e", m_state }, OrderDesk::kSilence);
+  Handle(StateReported{ "e", m_state }, OrderController::kUnresponsiveTime);
   EXPECT_EQ(m_settled, "never arrived");
 }
 
--- a/packages/authority/tests/PlannerWorld.cpp
+++ b/packages/authority/tests/PlannerWorld.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-const std::string kHall = "hall";
+const std::string kDataCentre = "hall";
 /**
  * Longest time of a message in transit: half of the time for which the order
  * controller waits before it settles an order as never arrived.
  */
-constexpr Duration kMessageLife = OrderDesk::kSilence / 2;
+constexpr Duration kLongestTransit = OrderController::kUnresponsiveTime / 2;
 
 } // namespace
 
@@ -32,8 +32,9 @@
 {
   auto planner = std::make_unique<Planner>();
   planner->m_id = "planner-" + std::to_string(++m_lastPlanner);
-  planner->m_lease = std::make_unique<Lease>(kHall, planner->m_id);
-  planner->m_desk = std::make_unique<OrderDesk>(kHall, planner->m_id);
+  planner->m_lease = std::make_unique<Lease>(kDataCentre, planner->m_id);
+  planner->m_orderController =
+    std::make_unique<OrderController>(kDataCentre, planner->m_id);
   m_planners.push_back(std::move(planner));
 }
 
@@ -49,17 +50,18 @@
 }
 
 void
-PlannerWorld::Feed(const std::string& aPlanner,
-                   std::function<void(Planner&)> aEvent)
+PlannerWorld::Enqueue(const std::string& aPlanner,
+                      std::function<void(Planner&)> aEvent)
 {
   // A paused planner executes no step, so the event waits, as it would in the
   // sockets of a paused process.
   if (Planner* planner = Find(aPlanner)) {
-    planner->m_todo.push_back([this, aPlanner, event = std::move(aEvent)] {
-      if (Planner* found = Find(aPlanner)) {
-        event(*found);
-      }
-    });
+    planner->m_pendingSteps.push_back(
+      [this, aPlanner, event = std::move(aEvent)] {
+        if (Planner* found = Find(aPlanner)) {
+          event(*found);
+        }
+      });
   }
 }
 
@@ -69,15 +71,16 @@
   if (aPlanner.m_paused || !aPlanner.m_alive) {
     return;
   }
-  if (!aPlanner.m_todo.empty()) {
-    const auto next = std::move(aPlanner.m_todo.front());
-    aPlanner.m_todo.pop_front();
+  if (!aPlanner.m_pendingSteps.empty()) {
+    const auto next = std::move(aPlanner.m_pendingSteps.front());
+    aPlanner.m_pendingSteps.pop_front();
     next();
     return;
   }
   OnLease(aPlanner, LeaseTick{});
-  OnDesk(aPlanner, TargetSet{ kEngine, m_target, m_options.m_checksFencing });
-  OnDesk(aPlanner, DeskTick{});
+  OnOrderEvent(aPlanner,
+               TargetSet{ kEngine, m_target, m_options.m_checksFencing });
+  OnOrderEvent(aPlanner, OrderTick{});
 }
 
 void
@@ -85,17 +88,18 @@
 {
   for (const LeaseAction& action : aPlanner.m_lease->Handle(aEvent, m_now)) {
     // Each action is a step of its own, so that a pause can fall before it.
-    aPlanner.m_todo.push_back(
-      [this, id = aPlanner.m_id, action] { Do(id, action); });
+    aPlanner.m_pendingSteps.push_back(
+      [this, id = aPlanner.m_id, action] { Execute(id, action); });
   }
 }
 
 void
-PlannerWorld::OnDesk(Planner& aPlanner, const DeskEvent& aEvent)
+PlannerWorld::OnOrderEvent(Planner& aPlanner, const OrderEvent& aEvent)
 {
-  for (const DeskAction& action : aPlanner.m_desk->Handle(aEvent, m_now)) {
-    aPlanner.m_todo.push_back(
-      [this, id = aPlanner.m_id, action] { Do(id, action); });
+  for (const OrderAction& action :
+       aPlanner.m_orderController->Handle(aEvent, m_now)) {
+    aPlanner.m_pendingSteps.push_back(
+      [this, id = aPlanner.m_id, action] { Execute(id, action); });
   }
 }
 
@@ -106,8 +110,8 @@
   const std::function<void(Planner&, table::CommitResult)>& aDone)
 {
   const auto answer = [this, aPlanner, aDone](table::CommitResult aResult) {
-    Feed(aPlanner,
-         [aDone, aResult](Planner& aFound) { aDone(aFound, aResult); });
+    Enqueue(aPlanner,
+            [aDone, aResult](Planner& aFound) { aDone(aFound, aResult); });
   };
   m_network.push_back(
     { m_now,
@@ -116,7 +120,8 @@
         for (const table::Put& put : aTransaction.m_puts) {
           const auto order = DecodeOrder(put.m_value);
           if (committed && order && !order->m_settled) {
-            m_recordedAt.emplace(order->m_id, m_recordedAt.size() + 1);
+            m_recordedPosition.emplace(order->m_id,
+                                       m_recordedPosition.size() + 1);
           }
         }
         const auto result = committed ? table::CommitResult::Committed
@@ -131,7 +136,7 @@
 }
 
 void
-PlannerWorld::Do(const std::string& aPlanner, const LeaseAction& aAction)
+PlannerWorld::Execute(const std::string& aPlanner, const LeaseAction& aAction)
 {
   std::visit(
     Overloaded{
@@ -140,15 +145,16 @@
           { m_now,
             [this, aPlanner] {
               const LeaseRead read{
-                { table::ReadStatus::Ok, m_table.Read(LeaseKey(kHall)) },
-                { table::ReadStatus::Ok, m_table.Read(FenceKey(kHall)) }
+                { table::ReadStatus::Ok, m_table.Read(LeaseKey(kDataCentre)) },
+                { table::ReadStatus::Ok, m_table.Read(FenceKey(kDataCentre)) }
               };
-              Feed(aPlanner,
-                   [this, read](Planner& aFound) { OnLease(aFound, read); });
+              Enqueue(aPlanner,
+                      [this, read](Planner& aFound) { OnLease(aFound, read); });
             },
             [this, aPlanner] {
-              Feed(aPlanner,
-                   [this](Planner& aFound) { OnLease(aFound, LeaseRead{}); });
+              Enqueue(aPlanner, [this](Planner& aFound) {
+                OnLease(aFound, LeaseRead{});
+              });
             } });
       },
       [&](const WriteLease& aWrite) {
@@ -160,18 +166,18 @@
                   });
       },
       [&](const AuthorityGained& aGained) {
-        OnDesk(
+        OnOrderEvent(
           *Find(aPlanner),
           AuthorityChanged{ true, aGained.m_fencing, aGained.m_fenceVersion });
       },
       [&](const AuthorityLost&) {
-        OnDesk(*Find(aPlanner), AuthorityChanged{});
+        OnOrderEvent(*Find(aPlanner), AuthorityChanged{});
       } },
     aAction);
 }
 
 void
-PlannerWorld::Do(const std::string& aPlanner, const DeskAction& aAction)
+PlannerWorld::Execute(const std::string& aPlanner, const OrderAction& aAction)
 {
   const auto commit = [&](const Order& aOrder,
                           const table::Transaction& aTransaction,
@@ -180,23 +186,23 @@
       aPlanner,
       aTransaction,
       [this, aOrder, aSettling](Planner& aFound, table::CommitResult aResult) {
-        OnDesk(aFound,
-               OrderWritten{ kEngine, aOrder.m_id, aSettling, aResult });
+        OnOrderEvent(aFound,
+                     OrderWritten{ kEngine, aOrder.m_id, aSettling, aResult });
       });
   };
   std::visit(
     Overloaded{ [&](const ReadOrderRow&) {
                  const auto answer =
                    [this, aPlanner](const table::ReadResult& aResult) {
-                     Feed(aPlanner, [this, aResult](Planner& aFound) {
-                       OnDesk(aFound, OrderRowRead{ kEngine, aResult });
+                     Enqueue(aPlanner, [this, aResult](Planner& aFound) {
+                       OnOrderEvent(aFound, OrderRowRead{ kEngine, aResult });
                      });
                    };
                  m_network.push_back(
                    { m_now,
                      [this, answer] {
                        answer({ table::ReadStatus::Ok,
-                                m_table.Read(OrderKey(kHall, kEngine)) });
+                                m_table.Read(OrderKey(kDataCentre, kEngine)) });
                      },
                      [answer] { answer({}); } });
                },
@@ -221,8 +227,8 @@
                 [&](const auto& aItem) { return aItem.get() == &aPlanner; });
   AddPlanner();
   for (const auto& planner : m_planners) {
-    Feed(planner->m_id, [this, ended](Planner& aFound) {
-      OnDesk(aFound, SenderEnded{ ended });
+    Enqueue(planner->m_id, [this, ended](Planner& aFound) {
+      OnOrderEvent(aFound, SenderEnded{ ended });
     });
   }
 }
@@ -262,13 +268,13 @@
 PlannerWorld::PauseFor(Planner& aPlanner, int aRounds)
 {
   aPlanner.m_paused = true;
-  m_wakes.emplace_back(m_round + aRounds, aPlanner.m_id);
+  m_resumeRounds.emplace_back(m_round + aRounds, aPlanner.m_id);
 }
 
 void
-PlannerWorld::WakeDue()
+PlannerWorld::ResumeDue()
 {
-  for (const auto& [round, id] : m_wakes) {
+  for (const auto& [round, id] : m_resumeRounds) {
     if (Planner* planner = Find(id); planner != nullptr && round == m_round) {
       planner->m_paused = false;
     }
@@ -289,7 +295,7 @@
 void
 PlannerWorld::Deviate(Deviation aDeviation)
 {
-  constexpr int kHeldRounds = 30;
+  constexpr int kDelayedRounds = 30;
   Planner& first = *m_planners.front();
   switch (aDeviation) {
     case Deviation::None:
@@ -310,9 +316,9 @@
         drop();
       }
       return;
-    case Deviation::HoldOldest:
+    case Deviation::DelayOldest:
       if (!m_network.empty()) {
-        m_held.emplace_back(m_round + kHeldRounds, m_network.front());
+        m_delayed.emplace_back(m_round + kDelayedRounds, m_network.front());
         m_network.erase(m_network.begin());
       }
       return;
@@ -331,15 +337,15 @@
   constexpr int kReportEvery = 4;
   constexpr Duration kRoundTime{ 100 };
   ++m_round;
-  WakeDue();
+  ResumeDue();
   Deviate(aDeviation);
-  for (std::size_t i = 0; i < m_held.size();) {
-    if (m_held[i].first > m_round) {
+  for (std::size_t i = 0; i < m_delayed.size();) {
+    if (m_delayed[i].first > m_round) {
       ++i;
       continue;
     }
-    m_network.push_back(m_held[i].second);
-    m_held.erase(m_held.begin() + static_cast<std::ptrdiff_t>(i));
+    m_network.push_back(m_delayed[i].second);
+    m_delayed.erase(m_delayed.begin() + static_cast<std::ptrdiff_t>(i));
   }
   for (const auto& planner : m_planners) {
     PlannerStep(*planner);
@@ -361,7 +367,7 @@
 {
   m_now += aBy;
   for (std::size_t i = 0; i < m_network.size();) {
-    if (m_now - m_network[i].m_sentAt < kMessageLife) {
+    if (m_now - m_network[i].m_sentAt < kLongestTransit) {
       ++i;
       continue;
     }
@@ -416,7 +422,7 @@
 }
 
 bool
-PlannerWorld::Settles()
+PlannerWorld::ReachesTarget()
 {
   constexpr int kMostSteps = 60'000;
   m_options.m_disturbances = false;
--- a/packages/authority/tests/PlannerWorld.h
+++ b/packages/authority/tests/PlannerWorld.h
@@ -9,7 +9,7 @@
 #include <memory>
 #include <optional>
 #include <ridgeferry/authority/Lease.h>
-#include <ridgeferry/authority/OrderDesk.h>
+#include <ridgeferry/authority/OrderController.h>
 #include <set>
 #include <string>
 #include <vector>
@@ -63,8 +63,8 @@
     /** Pause the planner that sends the next order, after it has checked its
      * authority and before it sends. */
     PauseBeforeSend,
-    DropOldest, ///< Lose the oldest message.
-    HoldOldest, ///< Delay the oldest message by some rounds.
+    DropOldest,  ///< Lose the oldest message.
+    DelayOldest, ///< Delay the oldest message by some rounds.
     RestartEngine,
     FlipTarget, ///< Change the target to the other role.
   };
@@ -80,7 +80,7 @@
    * Returns false if the engine has not reached it after a bounded number of
    * steps.
    */
-  bool Settles();
+  bool ReachesTarget();
   /** Returns a description of each violation that the simulation has seen. */
   const std::vector<std::string>& Faults() const { return m_faults; }
   std::size_t OrdersTaken() const { return m_taken.size(); }
@@ -90,8 +90,9 @@
   {
     std::string m_id;
     std::unique_ptr<Lease> m_lease;
-    std::unique_ptr<OrderDesk> m_desk;
-    std::deque<std::function<void()>> m_todo; ///< Pending steps, in order.
+    std::unique_ptr<OrderController> m_orderController;
+    std::deque<std::function<void()>>
+      m_pendingSteps; ///< Pending steps, in order.
     bool m_paused = false;
     bool m_alive = true;
   };
@@ -119,11 +120,12 @@
   void AddPlanner();
   Planner* Find(const std::string& aId);
   void PlannerStep(Planner& aPlanner);
-  void Feed(const std::string& aPlanner, std::function<void(Planner&)> aEvent);
+  void Enqueue(const std::string& aPlanner,
+               std::function<void(Planner&)> aEvent);
   void OnLease(Planner& aPlanner, const LeaseEvent& aEvent);
-  void OnDesk(Planner& aPlanner, const DeskEvent& aEvent);
-  void Do(const std::string& aPlanner, const LeaseAction& aAction);
-  void Do(const std::string& aPlanner, const DeskAction& aAction);
+  void OnOrderEvent(Planner& aPlanner, const OrderEvent& aEvent);
+  void Execute(const std::string& aPlanner, const LeaseAction& aAction);
+  void Execute(const std::string& aPlanner, const OrderAction& aAction);
   void CommitFor(
     const std::string& aPlanner,
     const table::Transaction& aTransaction,
@@ -135,7 +137,7 @@
   void Disturb(Chooser& aChoose);
   void Deviate(Deviation aDeviation);
   void PauseFor(Planner& aPlanner, int aRounds);
-  void WakeDue();
+  void ResumeDue();
   void DeliverAt(std::size_t aIndex);
   void RestartEngine();
   void EndChange();
@@ -151,19 +153,19 @@
   std::vector<std::unique_ptr<Planner>> m_planners;
   std::vector<Message> m_network;
   /** Delayed messages, each with the round in which it is in transit again. */
-  std::vector<std::pair<int, Message>> m_held;
+  std::vector<std::pair<int, Message>> m_delayed;
   int m_round = 0;
   bool m_pauseBeforeSend = false;
   /** Planners that a scripted run paused, each with the round that resumes it.
    */
-  std::vector<std::pair<int, std::string>> m_wakes;
+  std::vector<std::pair<int, std::string>> m_resumeRounds;
   Engine m_engine;
   EngineTarget m_target;
   std::set<std::string> m_taken;
   /** Order id to the position of the order among all recorded orders, from 1.
    */
-  std::map<std::string, std::uint64_t> m_recordedAt;
-  std::uint64_t m_lastTakenPlace = 0;
+  std::map<std::string, std::uint64_t> m_recordedPosition;
+  std::uint64_t m_lastAcceptedPosition = 0;
   int m_lastPlanner = 0;
   std::vector<std::string> m_faults;
 };
--- a/packages/authority/tests/PlannerWorldEngine.cpp
+++ b/packages/authority/tests/PlannerWorldEngine.cpp
@@ -19,8 +19,8 @@
 {
   Planner& planner = *Find(aPlanner);
   const auto answer = [this, aPlanner, aOrder](SendResult aResult) {
-    Feed(aPlanner, [this, aOrder, aResult](Planner& aFound) {
-      OnDesk(aFound, OrderAnswered{ kEngine, aOrder.m_id, aResult });
+    Enqueue(aPlanner, [this, aOrder, aResult](Planner& aFound) {
+      OnOrderEvent(aFound, OrderAnswered{ kEngine, aOrder.m_id, aResult });
     });
   };
   if (!planner.m_lease->HasAuthority(m_now)) {
@@ -33,7 +33,7 @@
     m_pauseBeforeSend = false;
     PauseFor(planner, kPausedRounds);
   }
-  planner.m_todo.push_front([this, aPlanner, aOrder, answer] {
+  planner.m_pendingSteps.push_front([this, aPlanner, aOrder, answer] {
     m_network.push_back(
       { m_now,
         [this, aPlanner, aOrder] { TakeOrder(aPlanner, aOrder); },
@@ -46,8 +46,8 @@
 {
   const auto reply = [this, aPlanner, aOrder](SendResult aResult) {
     const auto answer = [this, aPlanner, aOrder](SendResult aSeen) {
-      Feed(aPlanner, [this, aOrder, aSeen](Planner& aFound) {
-        OnDesk(aFound, OrderAnswered{ kEngine, aOrder.m_id, aSeen });
+      Enqueue(aPlanner, [this, aOrder, aSeen](Planner& aFound) {
+        OnOrderEvent(aFound, OrderAnswered{ kEngine, aOrder.m_id, aSeen });
       });
     };
     m_network.push_back({ m_now,
@@ -67,19 +67,20 @@
   if (!m_taken.insert(aOrder.m_id).second) {
     Fault("order " + aOrder.m_id + " was accepted twice");
   }
-  const std::uint64_t place = m_recordedAt[aOrder.m_id];
+  const std::uint64_t place = m_recordedPosition[aOrder.m_id];
   if (place == 0) {
     Fault("order " + aOrder.m_id + " was accepted but not recorded");
   }
   // An engine that ignores fencing must not accept an order once a later order
   // has been recorded. An engine that checks fencing must not accept an order
   // after it has accepted a later order.
-  const std::uint64_t latest =
-    m_options.m_checksFencing ? m_lastTakenPlace : m_recordedAt.size();
+  const std::uint64_t latest = m_options.m_checksFencing
+                                 ? m_lastAcceptedPosition
+                                 : m_recordedPosition.size();
   if (place < latest) {
     Fault("order " + aOrder.m_id + " was accepted after a later order");
   }
-  m_lastTakenPlace = std::max(m_lastTakenPlace, place);
+  m_lastAcceptedPosition = std::max(m_lastAcceptedPosition, place);
   m_engine.m_highest = std::max(m_engine.m_highest, aOrder.m_fencing);
   state.m_lastOrder = aOrder.m_id;
   std::visit(
@@ -105,13 +106,14 @@
 void
 PlannerWorld::SendReport(const std::string& aPlanner)
 {
-  m_network.push_back({ m_now,
-                        [this, aPlanner, state = m_engine.m_state] {
-                          Feed(aPlanner, [this, state](Planner& aFound) {
-                            OnDesk(aFound, StateReported{ kEngine, state });
-                          });
-                        },
-                        [] {} });
+  m_network.push_back(
+    { m_now,
+      [this, aPlanner, state = m_engine.m_state] {
+        Enqueue(aPlanner, [this, state](Planner& aFound) {
+          OnOrderEvent(aFound, StateReported{ kEngine, state });
+        });
+      },
+      [] {} });
 }
 
 void
--- a/packages/authority/tests/PlannerWorldTest.cpp
+++ b/packages/authority/tests/PlannerWorldTest.cpp
@@ -49,13 +49,13 @@
     for (std::uint32_t number : schedule) {
       world.Step(number);
     }
-    RC_ASSERT(world.Settles());
+    RC_ASSERT(world.ReachesTarget());
     RC_ASSERT(FirstFault(world) == "");
   }));
 }
 
 /** A round of a scripted run and the deviation that is injected in it. */
-struct Mishap
+struct ScheduledDeviation
 {
   std::size_t m_round = 0;
   PlannerWorld::Deviation m_deviation = PlannerWorld::Deviation::None;
@@ -65,12 +65,12 @@
  * Returns each of `aDeviations` in combination with each of the rounds in which
  * the first order of a run is recorded, sent, accepted and settled.
  */
-std::vector<Mishap>
-MishapsOf(std::span<const PlannerWorld::Deviation> aDeviations)
+std::vector<ScheduledDeviation>
+ScheduledDeviations(std::span<const PlannerWorld::Deviation> aDeviations)
 {
   constexpr std::size_t kFirstRound = 14;
   constexpr std::size_t kLastRound = 26;
-  std::vector<Mishap> out;
+  std::vector<ScheduledDeviation> out;
   for (std::size_t round = kFirstRound; round < kLastRound; ++round) {
     for (PlannerWorld::Deviation deviation : aDeviations) {
       out.push_back({ round, deviation });
@@ -84,7 +84,9 @@
  * occurs, and returns the number of orders that the engine accepted.
  */
 std::size_t
-PlayWith(const Mishap& aFirst, const Mishap& aSecond, bool aChecksFencing)
+RunWithDeviations(const ScheduledDeviation& aFirst,
+                  const ScheduledDeviation& aSecond,
+                  bool aChecksFencing)
 {
   constexpr std::size_t kRounds = 200;
   PlannerWorld world({ aChecksFencing, false });
@@ -113,22 +115,22 @@
   using Deviation = PlannerWorld::Deviation;
   constexpr Deviation kAll[] = {
     Deviation::None,       Deviation::KillFirst,       Deviation::PauseFirst,
-    Deviation::DropOldest, Deviation::HoldOldest,      Deviation::RestartEngine,
+    Deviation::DropOldest, Deviation::DelayOldest,     Deviation::RestartEngine,
     Deviation::FlipTarget, Deviation::PauseBeforeSend,
   };
   constexpr Deviation kPaired[] = { Deviation::KillFirst,
                                     Deviation::PauseBeforeSend,
-                                    Deviation::HoldOldest };
+                                    Deviation::DelayOldest };
   std::size_t runs = 0;
   std::size_t taken = 0;
-  for (const Mishap& mishap : MishapsOf(kAll)) {
-    taken += PlayWith(mishap, {}, GetParam());
+  for (const ScheduledDeviation& scheduled : ScheduledDeviations(kAll)) {
+    taken += RunWithDeviations(scheduled, {}, GetParam());
     ++runs;
   }
-  const std::vector<Mishap> paired = MishapsOf(kPaired);
+  const std::vector<ScheduledDeviation> paired = ScheduledDeviations(kPaired);
   for (std::size_t first = 0; first < paired.size(); ++first) {
     for (std::size_t second = first + 1; second < paired.size(); ++second) {
-      taken += PlayWith(paired[first], paired[second], GetParam());
+      taken += RunWithDeviations(paired[first], paired[second], GetParam());
       ++runs;
     }
   }
--- a/packages/base/include/ridgeferry/base/UpstreamLife.h
+++ b/packages/base/include/ridgeferry/base/UpstreamIncarnation.h
@@ -10,7 +10,7 @@
  * Order of the incarnation that a report on an upstream names, compared with
  * the known incarnation of the upstream.
  */
-enum class LifeOrder : std::uint8_t
+enum class IncarnationOrder : std::uint8_t
 {
   /** The incarnations are equal, or cannot be compared because the start time
    * of one of them is unknown. */
@@ -25,28 +25,29 @@
  * connections, cached data and received orders of the earlier incarnation, and
  * is not leaving merely because the earlier one was. A plain value.
  */
-struct UpstreamLife
+struct UpstreamIncarnation
 {
   std::string m_id;
   /** Start time of the process, in Unix milliseconds by its own clock;
    * std::nullopt if the upstream does not report it. */
   std::optional<std::int64_t> m_born = {};
 
-  bool operator==(const UpstreamLife&) const = default;
+  bool operator==(const UpstreamIncarnation&) const = default;
 };
 
 /**
  * Compares the start time that a report names with the known start time of the
  * upstream with the same id.
  */
-constexpr LifeOrder
-Compare(std::optional<std::int64_t> aHeldBorn,
-        std::optional<std::int64_t> aToldBorn)
+constexpr IncarnationOrder
+Compare(std::optional<std::int64_t> aKnownBorn,
+        std::optional<std::int64_t> aReportedBorn)
 {
-  if (!aHeldBorn || !aToldBorn || *aHeldBorn == *aToldBorn) {
-    return LifeOrder::Same;
+  if (!aKnownBorn || !aReportedBorn || *aKnownBorn == *aReportedBorn) {
+    return IncarnationOrder::Same;
   }
-  return *aToldBorn < *aHeldBorn ? LifeOrder::Earlier : LifeOrder::Later;
+  return *aReportedBorn < *aKnownBorn ? IncarnationOrder::Earlier
+                                      : IncarnationOrder::Later;
 }
 
 } // namespace ridgeferry
--- a/packages/claims/include/ridgeferry/claims/Claim.h
+++ b/packages/claims/include/ridgeferry/claims/Claim.h
@@ -50,7 +50,7 @@
 inline constexpr std::size_t kMaxRecordedBody = std::size_t{ 16 } * 1024;
 
 std::string
-ClaimKey(std::string_view aTeam, std::string_view aKey);
+ClaimKey(std::string_view aOrganisation, std::string_view aKey);
 std::string
 EncodeClaim(const ClaimRow& aRow);
 tl::expected<ClaimRow, std::string>
@@ -181,7 +181,7 @@
   static constexpr int kMaxRecordRounds = 230;
 
   /** `aId` must never be used for another attempt. */
-  Claim(std::string_view aTeam,
+  Claim(std::string_view aOrganisation,
         std::string_view aKey,
         std::string aId,
         std::uint64_t aFingerprint);
--- a/packages/claims/src/Claim.cpp
+++ b/packages/claims/src/Claim.cpp
@@ -54,9 +54,9 @@
 } // namespace
 
 std::string
-ClaimKey(std::string_view aTeam, std::string_view aKey)
+ClaimKey(std::string_view aOrganisation, std::string_view aKey)
 {
-  return "claim/" + EscapeKeyPart(aTeam) + "/" + EscapeKeyPart(aKey);
+  return "claim/" + EscapeKeyPart(aOrganisation) + "/" + EscapeKeyPart(aKey);
 }
 
 std::string
@@ -101,11 +101,11 @@
   }
 }
 
-Claim::Claim(std::string_view aTeam,
+Claim::Claim(std::string_view aOrganisation,
              std::string_view aKey,
              std::string aId,
              std::uint64_t aFingerprint)
-  : m_key(ClaimKey(aTeam, aKey))
+  : m_key(ClaimKey(aOrganisation, aKey))
 {
   m_row.m_claim = std::move(aId);
   m_row.m_fingerprint = aFingerprint;
--- a/packages/cli/include/ridgeferry/cli/Command.h
+++ b/packages/cli/include/ridgeferry/cli/Command.h
@@ -57,7 +57,7 @@
 struct ExplainCommand
 {
   std::string m_path;
-  std::string m_team;
+  std::string m_organisation;
   std::string m_labels;
   std::string m_key;
   std::string m_body;
--- a/packages/cli/src/Command.cpp
+++ b/packages/cli/src/Command.cpp
@@ -19,7 +19,7 @@
   OptionOutput,
   OptionFile,
   OptionReason,
-  OptionTeam,
+  OptionOrganisation,
   OptionLabels,
   OptionKey,
   OptionBody,
@@ -39,7 +39,7 @@
   { "output", required_argument, nullptr, OptionOutput },
   { "file", required_argument, nullptr, OptionFile },
   { "reason", required_argument, nullptr, OptionReason },
-  { "team", required_argument, nullptr, OptionTeam },
+  { "team", required_argument, nullptr, OptionOrganisation },
   { "labels", required_argument, nullptr, OptionLabels },
   { "key", required_argument, nullptr, OptionKey },
   { "body", required_argument, nullptr, OptionBody },
@@ -158,7 +158,7 @@
                    "or --id ID and log files");
     }
     return ExplainCommand{ aRest[0],
-                           ValueOr(aValues, OptionTeam, nullptr),
+                           ValueOr(aValues, OptionOrganisation, nullptr),
                            ValueOr(aValues, OptionLabels, nullptr),
                            ValueOr(aValues, OptionKey, nullptr),
                            ValueOr(aValues, OptionBody, nullptr) };
--- a/packages/cli/src/Run.cpp
+++ b/packages/cli/src/Run.cpp
@@ -190,7 +190,7 @@
 Execute(const Common& aCommon, const ExplainCommand& aCommand)
 {
   net::HttpHeaders headers;
-  headers.Add("X-Ridgeferry-Team", aCommand.m_team);
+  headers.Add("X-Ridgeferry-Team", aCommand.m_organisation);
   if (!aCommand.m_labels.empty()) {
     headers.Add("X-Ridgeferry-Labels", aCommand.m_labels);
   }
--- a/packages/config/tests/ConfigWorldTest.cpp
+++ b/packages/config/tests/ConfigWorldTest.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 declared::Edit
-PutTeam(const std::string& aName)
+PutOrganisation(const std::string& aName)
 {
   return declared::PutObject{ "team/" + aName,
                               R"({"kind":"team","name":")" + aName + R"("})" };
@@ -134,7 +134,7 @@
   struct Node
   {
     Replica m_replica;
-    int m_life = 0;
+    int m_incarnation = 0;
   };
 
   void Feed(std::size_t aAt, const ReplicaEvent& aEvent)
@@ -159,26 +159,30 @@
    * Delivers the event only if the process that asked has not been replaced
    * since.
    */
-  void FeedIfNotReplaced(std::size_t aAt, int aLife, const ReplicaEvent& aEvent)
+  void FeedIfNotReplaced(std::size_t aAt,
+                         int aIncarnation,
+                         const ReplicaEvent& aEvent)
   {
-    if (m_nodes[aAt].m_life == aLife) {
+    if (m_nodes[aAt].m_incarnation == aIncarnation) {
       Feed(aAt, aEvent);
     }
   }
 
   void Fetch(std::size_t aAt, const FetchChanges& aFetch)
   {
-    const int life = m_nodes[aAt].m_life;
-    m_network.push_back([this, aAt, life, aFetch](bool aLost) {
+    const int incarnation = m_nodes[aAt].m_incarnation;
+    m_network.push_back([this, aAt, incarnation, aFetch](bool aLost) {
       if (aLost) {
-        FeedIfNotReplaced(aAt, life, FetchFailed{});
+        FeedIfNotReplaced(aAt, incarnation, FetchFailed{});
         return;
       }
       if (!aFetch.m_peer.empty()) {
         // A peer sends its whole configuration.
         const Replica& peer = m_nodes[std::stoul(aFetch.m_peer)].m_replica;
         FeedIfNotReplaced(
-          aAt, life, SnapshotArrived{ peer.InForce(), peer.Catalog().Texts() });
+          aAt,
+          incarnation,
+          SnapshotArrived{ peer.InForce(), peer.Catalog().Texts() });
         return;
       }
       ChangesArrived arrived;
@@ -186,16 +190,16 @@
         arrived.m_changes.push_back(
           *DecodeChange(m_table.Read(ChangeKey(i)).m_value));
       }
-      FeedIfNotReplaced(aAt, life, arrived);
+      FeedIfNotReplaced(aAt, incarnation, arrived);
     });
   }
 
   void ReadHead(std::size_t aAt)
   {
-    const int life = m_nodes[aAt].m_life;
-    m_network.push_back([this, aAt, life](bool aLost) {
+    const int incarnation = m_nodes[aAt].m_incarnation;
+    m_network.push_back([this, aAt, incarnation](bool aLost) {
       if (!aLost) {
-        FeedIfNotReplaced(aAt, life, RevisionSeen{ HeadRevision(), {} });
+        FeedIfNotReplaced(aAt, incarnation, RevisionSeen{ HeadRevision(), {} });
       }
     });
   }
@@ -203,11 +207,11 @@
   void Hear(std::size_t aAt, std::size_t aFrom)
   {
     const Revision revision = m_nodes[aFrom].m_replica.InForce();
-    const int life = m_nodes[aAt].m_life;
-    m_network.push_back([this, aAt, life, aFrom, revision](bool aLost) {
+    const int incarnation = m_nodes[aAt].m_incarnation;
+    m_network.push_back([this, aAt, incarnation, aFrom, revision](bool aLost) {
       if (!aLost) {
         FeedIfNotReplaced(
-          aAt, life, RevisionSeen{ revision, std::to_string(aFrom) });
+          aAt, incarnation, RevisionSeen{ revision, std::to_string(aFrom) });
       }
     });
   }
@@ -215,7 +219,7 @@
   void Replace(std::size_t aAt)
   {
     m_nodes[aAt].m_replica = Replica();
-    ++m_nodes[aAt].m_life;
+    ++m_nodes[aAt].m_incarnation;
   }
 
   void Submit(std::size_t aAt)
@@ -224,7 +228,8 @@
     const std::string id = "change-" + std::to_string(++m_lastChange);
     Change change;
     change.m_id = id;
-    change.m_edits = { PutTeam("team" + std::to_string(m_lastChange % 7)) };
+    change.m_edits = { PutOrganisation("team" +
+                                       std::to_string(m_lastChange % 7)) };
     auto committer = std::make_shared<Committer>(std::move(change), base);
     Drive(committer, id, committer->Start());
   }
--- a/packages/daemon/include/ridgeferry/daemon/Settings.h
+++ b/packages/daemon/include/ridgeferry/daemon/Settings.h
@@ -50,7 +50,7 @@
 struct Settings
 {
   std::string m_instance;
-  std::string m_hall;
+  std::string m_dataCentre;
   ListenSettings m_listen;
   PlatformSettings m_platform;
   std::vector<AdminToken> m_adminTokens;
--- a/packages/daemon/src/AdminApi.cpp
+++ b/packages/daemon/src/AdminApi.cpp
@@ -185,7 +185,7 @@
 {
   Json instances = Json::array();
   instances.push_back({ { "instance", m_node.m_settings.m_instance },
-                        { "hall", m_node.m_settings.m_hall },
+                        { "hall", m_node.m_settings.m_dataCentre },
                         { "self", true },
                         { "alive", true },
                         { "ready", m_ready },
@@ -195,7 +195,7 @@
                         { "queued", m_callers.Queued() } });
   for (const auto& [name, peer] : m_roster.Peers()) {
     instances.push_back({ { "instance", name },
-                          { "hall", peer.m_last.m_hall },
+                          { "hall", peer.m_last.m_dataCentre },
                           { "self", false },
                           { "alive", peer.m_alive },
                           { "ready", peer.m_last.m_ready },
@@ -211,7 +211,7 @@
                       { "fencing", m_planner.Fencing() } };
   ReplyJson(*aExchange,
             kOk,
-            Dump({ { "hall", m_node.m_settings.m_hall },
+            Dump({ { "hall", m_node.m_settings.m_dataCentre },
                    { "revision", m_config.InForce() },
                    { "table", m_node.m_table->IsDown() ? "down" : "up" },
                    { "planner", planner },
@@ -384,7 +384,7 @@
   }
   ReplyJson(*aExchange,
             kOk,
-            Dump({ { "team", request->m_team },
+            Dump({ { "team", request->m_organisation },
                    { "class", declared::TrafficClassName(request->m_class) },
                    { "route", request->m_route },
                    { "event", request->m_event },
--- a/packages/daemon/src/Call.cpp
+++ b/packages/daemon/src/Call.cpp
@@ -115,7 +115,7 @@
 {
   const std::weak_ptr<Call> weak = weak_from_this();
   m_claim =
-    m_context.m_claims.Begin(m_request.m_team,
+    m_context.m_claims.Begin(m_request.m_organisation,
                              m_request.m_key,
                              m_request.m_fingerprint,
                              [weak](const claims::ClaimAction& aAction) {
@@ -477,7 +477,7 @@
     observe::LogLevel::Info,
     "call-ended",
     { { "request", m_request.m_requestId },
-      { "team", m_request.m_team },
+      { "team", m_request.m_organisation },
       { "class", std::string(className) },
       { "route", m_request.m_route },
       { "declaredEvent", m_request.m_event },
--- a/packages/daemon/src/CallRequest.cpp
+++ b/packages/daemon/src/CallRequest.cpp
@@ -146,11 +146,11 @@
   tl::expected<CallRequest, RequestRefusal> Read(const std::string& aRequestId)
   {
     m_request.m_requestId = aRequestId;
-    m_request.m_team = HeaderText(m_exchange, "X-Ridgeferry-Team");
-    if (m_catalog.FindTeam(m_request.m_team) == nullptr) {
+    m_request.m_organisation = HeaderText(m_exchange, "X-Ridgeferry-Team");
+    if (m_catalog.FindOrganisation(m_request.m_organisation) == nullptr) {
       return tl::unexpected(
-        Refuse(ProblemCode::UnknownTeam,
-               "header X-Ridgeferry-Team: found \"" + m_request.m_team +
+        Refuse(ProblemCode::UnknownOrganisation,
+               "header X-Ridgeferry-Team: found \"" + m_request.m_organisation +
                  "\"; allowed: the name of a declared team"));
     }
     if (m_path.starts_with(kServicePrefix)) {
@@ -285,7 +285,7 @@
     for (const auto& [key, value] : *given) {
       m_labels.try_emplace(key, value);
     }
-    m_labels["team"] = m_request.m_team;
+    m_labels["team"] = m_request.m_organisation;
     m_labels["path"] = m_path;
     m_labels["method"] = m_exchange.Method();
   }
--- a/packages/daemon/src/CallRequest.h
+++ b/packages/daemon/src/CallRequest.h
@@ -47,7 +47,7 @@
 struct CallRequest
 {
   std::string m_requestId;
-  std::string m_team;
+  std::string m_organisation;
   std::string m_key; ///< Idempotency key; empty: the call may be repeated.
   std::uint64_t m_fingerprint = 0;
   declared::TrafficClass m_class = declared::TrafficClass::Normal;
--- a/packages/daemon/src/CallerApi.cpp
+++ b/packages/daemon/src/CallerApi.cpp
@@ -138,20 +138,22 @@
 bool
 CallerApi::Admit(net::HttpExchange& aExchange, const CallRequest& aRequest)
 {
-  const declared::Team* team = m_config.Catalog().FindTeam(aRequest.m_team);
-  const auto wait = m_limiter.Take(*team, m_roster.LiveCount(), m_node.Now());
+  const declared::Organisation* organisation =
+    m_config.Catalog().FindOrganisation(aRequest.m_organisation);
+  const auto wait =
+    m_limiter.Take(*organisation, m_roster.LiveCount(), m_node.Now());
   if (!wait) {
     return true;
   }
   m_node.m_metrics.Count(
     observe::WithLabel("calls_total", "result", "team-limit"));
-  ReplyProblem(
-    aExchange,
-    { routing::ProblemCode::TeamLimit,
-      Outcome::NotRun,
-      *wait,
-      "the limit declared for team " + aRequest.m_team + " is used up" },
-    aRequest.m_requestId);
+  ReplyProblem(aExchange,
+               { routing::ProblemCode::OrganisationLimit,
+                 Outcome::NotRun,
+                 *wait,
+                 "the limit declared for team " + aRequest.m_organisation +
+                   " is used up" },
+               aRequest.m_requestId);
   return false;
 }
 
@@ -272,7 +274,7 @@
     return;
   }
   m_dispatcher.Withdraw(aCall);
-  m_limiter.Release(it->second->Request().m_team);
+  m_limiter.Release(it->second->Request().m_organisation);
   m_calls.erase(it);
   m_node.m_metrics.Set("calls_running", static_cast<double>(m_calls.size()));
 }
--- a/packages/daemon/src/CallerApi.h
+++ b/packages/daemon/src/CallerApi.h
@@ -11,8 +11,8 @@
 #include <ridgeferry/membership/Roster.h>
 #include <ridgeferry/net/HttpServer.h>
 #include <ridgeferry/routing/Dispatcher.h>
+#include <ridgeferry/routing/OrganisationLimiter.h>
 #include <ridgeferry/routing/RetryBudget.h>
-#include <ridgeferry/routing/TeamLimiter.h>
 #include <string>
 
 namespace ridgeferry::daemon {
@@ -63,7 +63,7 @@
   upstream::ServiceClient m_services;
   CallContext m_context;
   routing::Dispatcher m_dispatcher;
-  routing::TeamLimiter m_limiter;
+  routing::OrganisationLimiter m_limiter;
   routing::RetryBudget m_retries;
   std::map<routing::CallId, std::shared_ptr<Call>> m_calls;
   /** One object a pool and revision, so that pools compare by address. */
--- a/packages/daemon/src/ClaimService.cpp
+++ b/packages/daemon/src/ClaimService.cpp
@@ -118,14 +118,17 @@
 ClaimService::~ClaimService() = default;
 
 std::shared_ptr<ClaimHandle>
-ClaimService::Begin(const std::string& aTeam,
+ClaimService::Begin(const std::string& aOrganisation,
                     const std::string& aKey,
                     std::uint64_t aFingerprint,
                     sigc::slot<bool(const claims::ClaimAction&)> aDone)
 {
   const std::string id = m_node.NewId();
   auto running = std::make_shared<Running>(
-    *this, id, claims::Claim(aTeam, aKey, id, aFingerprint), std::move(aDone));
+    *this,
+    id,
+    claims::Claim(aOrganisation, aKey, id, aFingerprint),
+    std::move(aDone));
   running->Start();
   return running;
 }
--- a/packages/daemon/src/ClaimService.h
+++ b/packages/daemon/src/ClaimService.h
@@ -40,7 +40,7 @@
    * may be dropped: a claim that was closed still records its end.
    */
   std::shared_ptr<ClaimHandle> Begin(
-    const std::string& aTeam,
+    const std::string& aOrganisation,
     const std::string& aKey,
     std::uint64_t aFingerprint,
     sigc::slot<bool(const claims::ClaimAction&)> aDone);
--- a/packages/daemon/src/Instance.cpp
+++ b/packages/daemon/src/Instance.cpp
@@ -213,9 +213,9 @@
 Instance::Make(Settings aSettings)
 {
   auto impl = std::make_unique<Impl>();
-  auto log = observe::Log::Make(
-    aSettings.m_log,
-    { { "instance", aSettings.m_instance }, { "hall", aSettings.m_hall } });
+  auto log = observe::Log::Make(aSettings.m_log,
+                                { { "instance", aSettings.m_instance },
+                                  { "hall", aSettings.m_dataCentre } });
   if (!log) {
     return tl::unexpected(StartError{ "open the log", log.error().m_cause });
   }
--- a/packages/daemon/src/PeerService.cpp
+++ b/packages/daemon/src/PeerService.cpp
@@ -63,7 +63,7 @@
   membership::Heartbeat out;
   out.m_instance = m_node.m_settings.m_instance;
   out.m_incarnation = m_node.m_incarnation;
-  out.m_hall = m_node.m_settings.m_hall;
+  out.m_dataCentre = m_node.m_settings.m_dataCentre;
   out.m_peerAddress = m_node.m_settings.m_listen.m_peers.ToString();
   out.m_ready = m_ready;
   out.m_leaving = m_leaving;
@@ -156,7 +156,7 @@
     m_node.m_metrics.Count("peer_bad_datagrams_total");
     return;
   }
-  if (heartbeat->m_hall != m_node.m_settings.m_hall) {
+  if (heartbeat->m_dataCentre != m_node.m_settings.m_dataCentre) {
     return;
   }
   const bool ready = heartbeat->m_ready;
@@ -173,22 +173,22 @@
   std::vector<std::string> addresses;
   for (const membership::RosterAction& action :
        m_roster.Handle(aEvent, m_node.Now())) {
-    std::visit(
-      Overloaded{ [&](const membership::SendHeartbeat& aSend) {
+    std::visit(Overloaded{
+                 [&](const membership::SendHeartbeat& aSend) {
                    addresses.push_back(aSend.m_peerAddress);
                  },
-                  [](const membership::SendHallLoads&) {}, // It tells all.
-                  [&](const membership::IncarnationEnded& aEnded) {
-                    m_processEnded.emit(
-                      ProcessId(aEnded.m_instance, aEnded.m_incarnation));
-                  },
-                  [&](const membership::UpstreamLeaving& aLeaving) {
-                    const std::string& id = aLeaving.m_upstream.m_id;
-                    if (m_leavingUpstreams.insert(id).second) {
-                      m_upstreamLeaving.emit(id);
-                    }
-                  } },
-      action);
+                 [](const membership::SendDataCentreLoads&) {}, // It tells all.
+                 [&](const membership::IncarnationEnded& aEnded) {
+                   m_processEnded.emit(
+                     ProcessId(aEnded.m_instance, aEnded.m_incarnation));
+                 },
+                 [&](const membership::UpstreamLeaving& aLeaving) {
+                   const std::string& id = aLeaving.m_upstream.m_id;
+                   if (m_leavingUpstreams.insert(id).second) {
+                     m_upstreamLeaving.emit(id);
+                   }
+                 } },
+               action);
   }
   SendTo(addresses);
 }
--- a/packages/daemon/src/PlannerService.cpp
+++ b/packages/daemon/src/PlannerService.cpp
@@ -39,8 +39,10 @@
   , m_roster(aRoster)
   , m_upstreams(aUpstreams)
   , m_engines(aEngines)
-  , m_lease(aNode.m_settings.m_hall, aNode.m_process, aNode.m_settings.m_lease)
-  , m_desk(aNode.m_settings.m_hall, aNode.m_process)
+  , m_lease(aNode.m_settings.m_dataCentre,
+            aNode.m_process,
+            aNode.m_settings.m_lease)
+  , m_orderController(aNode.m_settings.m_dataCentre, aNode.m_process)
 {
 }
 
@@ -62,7 +64,7 @@
   const bool contends =
     m_config.IsCurrent() && m_roster.Rank("planner") < kContenders;
   HandleLease(authority::LeaseTick{ contends });
-  HandleDesk(authority::DeskTick{});
+  HandleOrderEvent(authority::OrderTick{});
   const Instant now = m_node.Now();
   if (HasAuthority() && now >= m_nextPlan.value_or(now)) {
     m_nextPlan = now + kPlanEvery;
@@ -80,10 +82,10 @@
 }
 
 void
-PlannerService::HandleDesk(const authority::DeskEvent& aEvent)
+PlannerService::HandleOrderEvent(const authority::OrderEvent& aEvent)
 {
-  for (const authority::DeskAction& action :
-       m_desk.Handle(aEvent, m_node.Now())) {
+  for (const authority::OrderAction& action :
+       m_orderController.Handle(aEvent, m_node.Now())) {
     Act(action);
   }
 }
@@ -91,11 +93,12 @@
 void
 PlannerService::ReadLeaseRows()
 {
-  const std::string& hall = m_node.m_settings.m_hall;
+  const std::string& dataCentre = m_node.m_settings.m_dataCentre;
   m_node.m_table->Read(
-    authority::LeaseKey(hall), [this, hall](const table::ReadResult& aLease) {
+    authority::LeaseKey(dataCentre),
+    [this, dataCentre](const table::ReadResult& aLease) {
       m_node.m_table->Read(
-        authority::FenceKey(hall),
+        authority::FenceKey(dataCentre),
         [this, aLease](const table::ReadResult& aFence) {
           HandleLease(authority::LeaseRead{ aLease, aFence });
         });
@@ -123,25 +126,25 @@
         m_node.m_metrics.Count("lease_taken_total");
         m_nextPlan.reset();
         m_roles.clear(); // Another planner may have changed roles since.
-        HandleDesk(authority::AuthorityChanged{
+        HandleOrderEvent(authority::AuthorityChanged{
           true, aGained.m_fencing, aGained.m_fenceVersion });
       },
       [&](const authority::AuthorityLost&) {
         m_node.m_log->Write(observe::LogLevel::Info, "lease-lost");
-        HandleDesk(authority::AuthorityChanged{});
+        HandleOrderEvent(authority::AuthorityChanged{});
       } },
     aAction);
 }
 
 void
-PlannerService::Act(const authority::DeskAction& aAction)
+PlannerService::Act(const authority::OrderAction& aAction)
 {
   const auto commit = [this](const authority::Order& aOrder,
                              const table::Transaction& aTransaction,
                              bool aSettling) {
     m_node.m_table->Commit(
       aTransaction, [this, aOrder, aSettling](table::CommitResult aResult) {
-        HandleDesk(authority::OrderWritten{
+        HandleOrderEvent(authority::OrderWritten{
           aOrder.m_engine, aOrder.m_id, aSettling, aResult });
       });
   };
@@ -149,9 +152,9 @@
     Overloaded{
       [&](const authority::ReadOrderRow& aRead) {
         m_node.m_table->Read(
-          authority::OrderKey(m_node.m_settings.m_hall, aRead.m_engine),
+          authority::OrderKey(m_node.m_settings.m_dataCentre, aRead.m_engine),
           [this, engine = aRead.m_engine](const table::ReadResult& aResult) {
-            HandleDesk(authority::OrderRowRead{ engine, aResult });
+            HandleOrderEvent(authority::OrderRowRead{ engine, aResult });
           });
       },
       [&](const authority::RecordOrder& aRecord) {
@@ -173,7 +176,7 @@
 PlannerService::Send(const authority::Order& aOrder)
 {
   const auto answer = [this, aOrder](authority::SendResult aResult) {
-    HandleDesk(
+    HandleOrderEvent(
       authority::OrderAnswered{ aOrder.m_engine, aOrder.m_id, aResult });
   };
   const auto index = m_upstreams.Find(aOrder.m_engine);
@@ -199,13 +202,13 @@
 PlannerService::NoteStatus(const std::string& aEngine,
                            const upstream::EngineStatus& aStatus)
 {
-  HandleDesk(authority::StateReported{ aEngine, aStatus.m_state });
+  HandleOrderEvent(authority::StateReported{ aEngine, aStatus.m_state });
 }
 
 void
 PlannerService::NoteProcessEnded(const std::string& aProcess)
 {
-  HandleDesk(authority::SenderEnded{ aProcess });
+  HandleOrderEvent(authority::SenderEnded{ aProcess });
 }
 
 void
@@ -218,7 +221,7 @@
     }
   }
   for (const routing::Upstream& upstream : m_upstreams.All()) {
-    const auto order = m_desk.OpenOrder(upstream.m_listed.m_id);
+    const auto order = m_orderController.OpenOrder(upstream.m_listed.m_id);
     if (!order) {
       continue;
     }
@@ -289,9 +292,10 @@
       held == m_roles.end() ? engine.m_role : held->second;
     const auto index = m_upstreams.Find(engine.m_id);
     const bool leaving = !index || m_upstreams.At(*index).m_leaving;
-    HandleDesk(authority::TargetSet{ engine.m_id,
-                                     TargetFor(aDeployment, role, !leaving),
-                                     aDeployment.m_checksFencing });
+    HandleOrderEvent(
+      authority::TargetSet{ engine.m_id,
+                            TargetFor(aDeployment, role, !leaving),
+                            aDeployment.m_checksFencing });
   }
 }
 
--- a/packages/daemon/src/PlannerService.h
+++ b/packages/daemon/src/PlannerService.h
@@ -5,7 +5,7 @@
 
 #include <map>
 #include <ridgeferry/authority/Lease.h>
-#include <ridgeferry/authority/OrderDesk.h>
+#include <ridgeferry/authority/OrderController.h>
 #include <ridgeferry/membership/Roster.h>
 #include <ridgeferry/native/InstanceList.h>
 #include <ridgeferry/roles/MixEstimator.h>
@@ -49,7 +49,7 @@
   /** Whether decisions on this engine wait for its reports. */
   bool IsBusyWith(const std::string& aEngine) const
   {
-    return HasAuthority() && m_desk.IsBusy(aEngine);
+    return HasAuthority() && m_orderController.IsBusy(aEngine);
   }
   bool HasAuthority() const { return m_lease.HasAuthority(m_node.Now()); }
   authority::FencingNumber Fencing() const { return m_lease.Fencing(); }
@@ -60,9 +60,9 @@
   void Plan();
   void SetTargets(const declared::Deployment& aDeployment);
   void HandleLease(const authority::LeaseEvent& aEvent);
-  void HandleDesk(const authority::DeskEvent& aEvent);
+  void HandleOrderEvent(const authority::OrderEvent& aEvent);
   void Act(const authority::LeaseAction& aAction);
-  void Act(const authority::DeskAction& aAction);
+  void Act(const authority::OrderAction& aAction);
   void ReadLeaseRows();
   void Send(const authority::Order& aOrder);
 
@@ -72,7 +72,7 @@
   const routing::UpstreamSet& m_upstreams;
   upstream::EngineClient& m_engines;
   authority::Lease m_lease;
-  authority::OrderDesk m_desk;
+  authority::OrderController m_orderController;
   std::map<std::string, roles::MixEstimator, std::less<>> m_mixes;
   /** Targets held until the next plan: engine to role. */
   std::map<std::string, declared::Role, std::less<>> m_roles;
--- a/packages/daemon/src/Settings.cpp
+++ b/packages/daemon/src/Settings.cpp
@@ -128,7 +128,7 @@
   Settings settings;
   FieldReader reader(value, "", faults);
   settings.m_instance = reader.RequiredString("instance");
-  settings.m_hall = reader.RequiredString("hall");
+  settings.m_dataCentre = reader.RequiredString("hall");
   RequireObject(reader, "listen", [&](FieldReader& aListen) {
     settings.m_listen.m_callers = ReadAddress(aListen, "callers");
     settings.m_listen.m_admin = ReadAddress(aListen, "admin");
--- a/packages/daemon/src/UpstreamWatch.cpp
+++ b/packages/daemon/src/UpstreamWatch.cpp
@@ -41,7 +41,7 @@
   out.m_kind = aMember.m_kind == native::ListedKind::Service
                  ? routing::UpstreamKind::Service
                  : routing::UpstreamKind::Engine;
-  out.m_hall = aMember.m_hall;
+  out.m_dataCentre = aMember.m_dataCentre;
   out.m_address = aMember.m_address;
   out.m_labels = aMember.m_labels;
   out.m_leaving = aMember.m_leaving;
@@ -85,7 +85,7 @@
   }
   m_listAsked = true;
   m_node.m_list->Get(
-    m_node.m_settings.m_hall,
+    m_node.m_settings.m_dataCentre,
     [this](std::optional<std::vector<native::ListedMember>> aMembers) {
       m_listAsked = false;
       if (!aMembers) {
--- a/packages/declared/include/ridgeferry/declared/Catalog.h
+++ b/packages/declared/include/ridgeferry/declared/Catalog.h
@@ -58,7 +58,7 @@
   const Service* FindService(std::string_view aName) const;
   /** The deployment that serves the model name a caller asks for. */
   const Deployment* FindDeployment(std::string_view aModelOrName) const;
-  const Team* FindTeam(std::string_view aName) const;
+  const Organisation* FindOrganisation(std::string_view aName) const;
   const Event* FindEvent(std::string_view aName) const;
   std::vector<const Deployment*> Deployments() const;
   std::vector<const Event*> Events() const;
--- a/packages/declared/include/ridgeferry/declared/Objects.h
+++ b/packages/declared/include/ridgeferry/declared/Objects.h
@@ -70,19 +70,19 @@
   bool operator==(const Deployment&) const = default;
 };
 
-struct TeamLimits
+struct OrganisationLimits
 {
   double m_requestsPerSecond = 0; ///< 0: no limit. For each hall.
   std::int64_t m_inFlight = 0;    ///< 0: no limit. For each hall.
-  bool operator==(const TeamLimits&) const = default;
+  bool operator==(const OrganisationLimits&) const = default;
 };
 
-struct Team
+struct Organisation
 {
   std::string m_name;
   Labels m_labels;
-  TeamLimits m_limits;
-  bool operator==(const Team&) const = default;
+  OrganisationLimits m_limits;
+  bool operator==(const Organisation&) const = default;
 };
 
 /** A shift of the mix that operators expect. */
@@ -112,7 +112,7 @@
   bool operator==(const Route&) const = default;
 };
 
-using Object = std::variant<Service, Deployment, Team, Event, Route>;
+using Object = std::variant<Service, Deployment, Organisation, Event, Route>;
 
 /** `service`, `deployment`, `team`, `event` or `route`. */
 std::string_view
--- a/packages/declared/src/Catalog.cpp
+++ b/packages/declared/src/Catalog.cpp
@@ -161,10 +161,10 @@
   return nullptr;
 }
 
-const Team*
-Catalog::FindTeam(std::string_view aName) const
+const Organisation*
+Catalog::FindOrganisation(std::string_view aName) const
 {
-  return FindAs<Team>(m_objects, "team", aName);
+  return FindAs<Organisation>(m_objects, "team", aName);
 }
 
 const Event*
--- a/packages/declared/src/Objects.cpp
+++ b/packages/declared/src/Objects.cpp
@@ -110,15 +110,16 @@
 }
 
 Object
-ReadTeam(const SpecContext& aSpec)
+ReadOrganisation(const SpecContext& aSpec)
 {
-  Team team;
+  Organisation organisation;
   aSpec.m_reader.Object("limits", [&](FieldReader& aReader) {
-    team.m_limits.m_requestsPerSecond =
+    organisation.m_limits.m_requestsPerSecond =
       aReader.OptionalNumber("requestsPerSecond", 0, 0, 1e9);
-    team.m_limits.m_inFlight = aReader.OptionalInt("inFlight", 0, 0, 1'000'000);
+    organisation.m_limits.m_inFlight =
+      aReader.OptionalInt("inFlight", 0, 0, 1'000'000);
   });
-  return team;
+  return organisation;
 }
 
 std::optional<WallTime>
@@ -178,7 +179,7 @@
     case 1:
       return ReadDeployment(aSpec);
     case 2:
-      return ReadTeam(aSpec);
+      return ReadOrganisation(aSpec);
     case 3:
       return ReadEvent(aSpec);
     default:
--- a/packages/declared/tests/ObjectsTest.cpp
+++ b/packages/declared/tests/ObjectsTest.cpp
@@ -184,7 +184,7 @@
     Put("team/b", R"({"kind":"team","name":"B"})"),
   };
   EXPECT_FALSE(catalog.Apply(edits).has_value());
-  EXPECT_EQ(catalog.FindTeam("a"), nullptr);
+  EXPECT_EQ(catalog.FindOrganisation("a"), nullptr);
 }
 
 TEST(CatalogTest, KeepsItsRoutesWhenCopied)
--- a/packages/entry/include/ridgeferry/entry/EntrySettings.h
+++ b/packages/entry/include/ridgeferry/entry/EntrySettings.h
@@ -25,7 +25,7 @@
 struct EntrySettings
 {
   std::string m_instance;
-  std::string m_hall;
+  std::string m_dataCentre;
   net::Address m_callers;
   net::Address m_readiness;
   net::Address m_metrics;
--- a/packages/entry/src/Entry.cpp
+++ b/packages/entry/src/Entry.cpp
@@ -103,13 +103,15 @@
   /** Handles a listed upstream whose incarnation differs from the known one.
    * Forgets what was announced and ordered for the earlier incarnation if the
    * listed one is later. */
-  void NoteOtherLife(const relay::Member& aMember, LifeOrder aOrder);
+  void NoteOtherIncarnation(const relay::Member& aMember,
+                            IncarnationOrder aOrder);
   void TakeRemoval(const std::string& aUpstream,
                    std::optional<Instant> aLapsesUntil);
   /** Returns since when instances of a data centre have been reading the store
    * in its current generation; std::nullopt if none reads it. Reads of an
    * earlier generation say nothing about the present rows. */
-  std::optional<Instant> HallReadsSince(std::string_view aHall) const;
+  std::optional<Instant> DataCentreReadsSince(
+    std::string_view aDataCentre) const;
   /** Shortens the grace periods of expired upstreams for each data centre whose
    * instances are known to read the store again: an upstream that still exists
    * would have renewed its row by then. */
@@ -265,15 +267,15 @@
 void
 Entry::Impl::PutMember(const relay::Member& aMember)
 {
-  const LifeOrder order = m_node.m_fleet.Put(aMember);
-  if (order != LifeOrder::Same) {
-    NoteOtherLife(aMember, order);
+  const IncarnationOrder order = m_node.m_fleet.Put(aMember);
+  if (order != IncarnationOrder::Same) {
+    NoteOtherIncarnation(aMember, order);
   }
-  if (order == LifeOrder::Earlier) {
+  if (order == IncarnationOrder::Earlier) {
     return;
   }
   if (aMember.m_leaving) {
-    m_peers->NoteLeaving(aMember.Life());
+    m_peers->NoteLeaving(aMember.Incarnation());
   }
   m_node.m_log->Write(observe::LogLevel::Info,
                       "upstream-listed",
@@ -294,9 +296,10 @@
 }
 
 void
-Entry::Impl::NoteOtherLife(const relay::Member& aMember, LifeOrder aOrder)
+Entry::Impl::NoteOtherIncarnation(const relay::Member& aMember,
+                                  IncarnationOrder aOrder)
 {
-  const bool isLater = aOrder == LifeOrder::Later;
+  const bool isLater = aOrder == IncarnationOrder::Later;
   m_node.m_log->Write(
     observe::LogLevel::Info,
     isLater ? "upstream-born-again" : "upstream-row-is-old",
@@ -307,7 +310,7 @@
     // incarnation.
     m_peers->NoteGone(aMember.m_id);
     m_parts->NoteGone(aMember.m_id);
-    m_quarantine->NoteLaterLife(aMember.m_id);
+    m_quarantine->NoteLaterIncarnation(aMember.m_id);
   }
 }
 
@@ -318,13 +321,14 @@
   const Instant now = m_node.Now();
   const relay::Member* member = m_node.m_fleet.Find(aUpstream);
   if (member != nullptr) {
-    m_gone.NoteGone(member->Life(), now);
+    m_gone.NoteGone(member->Incarnation(), now);
   }
   if (member != nullptr && !aLapsesUntil) {
-    m_quarantine->NoteGone(member->Life());
+    m_quarantine->NoteGone(member->Incarnation());
   }
-  const auto reads =
-    member == nullptr ? std::nullopt : HallReadsSince(member->m_hall);
+  const auto reads = member == nullptr
+                       ? std::nullopt
+                       : DataCentreReadsSince(member->m_dataCentre);
   const auto until = relay::ExpiryGrace::Bounded(aLapsesUntil, reads, now);
   m_node.m_fleet.Drop(aUpstream, until);
   m_peers->NoteGone(aUpstream);
@@ -340,9 +344,10 @@
 }
 
 std::optional<Instant>
-Entry::Impl::HallReadsSince(std::string_view aHall) const
+Entry::Impl::DataCentreReadsSince(std::string_view aDataCentre) const
 {
-  return m_peers->HallReadsSince(aHall, m_members->Follower().Generation());
+  return m_peers->DataCentreReadsSince(aDataCentre,
+                                       m_members->Follower().Generation());
 }
 
 void
@@ -351,10 +356,10 @@
   if (!m_node.m_fleet.HasMemberInGracePeriod()) {
     return;
   }
-  for (const std::string& hall : m_peers->Halls()) {
-    if (const auto since = HallReadsSince(hall)) {
+  for (const std::string& dataCentre : m_peers->DataCentres()) {
+    if (const auto since = DataCentreReadsSince(dataCentre)) {
       m_node.m_fleet.BoundGracePeriods(
-        hall, *since + relay::ExpiryGrace::kGracePeriod);
+        dataCentre, *since + relay::ExpiryGrace::kGracePeriod);
     }
   }
 }
@@ -366,7 +371,7 @@
   // Only pollers notify: instances on standby wait for this message, and if
   // they sent it too, it would be sent twice.
   if (m_peers->IsPoller()) {
-    m_peers->TellHall();
+    m_peers->TellDataCentre();
   }
 }
 
@@ -550,13 +555,14 @@
     [this](const relay::ApplyRows& aRows) { TakeConfig(aRows); });
   m_members->SignalRows().connect(
     [this](const relay::ApplyRows& aRows) { TakeMembers(aRows); });
-  m_peers->SignalLeaving().connect([this](const UpstreamLife& aUpstream) {
-    m_node.m_fleet.MarkLeaving(aUpstream);
-    m_node.m_log->Write(
-      observe::LogLevel::Info,
-      "upstream-leaves",
-      { { "upstream", aUpstream.m_id }, { "from", "a peer" } });
-  });
+  m_peers->SignalLeaving().connect(
+    [this](const UpstreamIncarnation& aUpstream) {
+      m_node.m_fleet.MarkLeaving(aUpstream);
+      m_node.m_log->Write(
+        observe::LogLevel::Info,
+        "upstream-leaves",
+        { { "upstream", aUpstream.m_id }, { "from", "a peer" } });
+    });
   m_peers->SignalStoreView().connect(
     [this](const membership::StoreView& aView) {
       m_config->NotePeer(aView.m_config, aView);
@@ -596,9 +602,9 @@
   EntryNode& node = impl->m_node;
   observe::LogOptions options;
   options.m_target = observe::LogTarget::Output;
-  auto log = observe::Log::Make(
-    options,
-    { { "instance", aSettings.m_instance }, { "hall", aSettings.m_hall } });
+  auto log = observe::Log::Make(options,
+                                { { "instance", aSettings.m_instance },
+                                  { "hall", aSettings.m_dataCentre } });
   if (!log) {
     return tl::unexpected(net::NetError{ "open the log", log.error().m_cause });
   }
--- a/packages/entry/src/EntrySettings.cpp
+++ b/packages/entry/src/EntrySettings.cpp
@@ -85,7 +85,7 @@
   std::vector<FieldError> faults;
   FieldReader reader(document, "", faults);
   out.m_instance = reader.RequiredString("instance");
-  out.m_hall = reader.RequiredString("hall");
+  out.m_dataCentre = reader.RequiredString("hall");
   if (!reader.Has("listen")) {
     reader.Fail("listen",
                 "an object with callers, readiness, metrics and peers");
--- a/packages/entry/src/PartKeeper.cpp
+++ b/packages/entry/src/PartKeeper.cpp
@@ -48,7 +48,7 @@
   out.m_pollEvery = aTurn / 3;
   // Instances that do not contend read the lease once and do not poll it: with
   // hundreds of instances their polls would be most of the store's calls.
-  out.m_seldom = 0;
+  out.m_idlePollFactor = 0;
   return out;
 }
 
--- a/packages/entry/src/Peers.cpp
+++ b/packages/entry/src/Peers.cpp
@@ -41,10 +41,10 @@
 /** The loads of another data centre are dropped when no sum has arrived for
  * this time: some ten messages of its instances are lost by then, so it is cut
  * off. */
-constexpr Duration kHallLoadsFor{ 2500 };
+constexpr Duration kDataCentreLoadsFor{ 2500 };
 /** Prefix of a data centre's name where it stands among the names of instances.
  */
-constexpr const char* kHallPrefix = "hall/";
+constexpr const char* kDataCentrePrefix = "hall/";
 /** Most prefills in one heartbeat, and how often prefills and role updates are
  * announced: each is repeated because datagrams are lost now and then. */
 constexpr std::size_t kMostReads = 30;
@@ -92,7 +92,9 @@
 Peers::Peers(EntryNode& aNode, StoreGenerations& aGenerations)
   : m_node(aNode)
   , m_generations(aGenerations)
-  , m_roster(aNode.m_settings.m_instance, Times(), aNode.m_settings.m_hall)
+  , m_roster(aNode.m_settings.m_instance,
+             Times(),
+             aNode.m_settings.m_dataCentre)
   , m_incarnation(static_cast<std::uint64_t>(
       net::EventLoop::WallNow().time_since_epoch().count()))
 {
@@ -111,7 +113,7 @@
   m_socket = std::move(*socket);
   m_tick = m_node.m_loop->Every(kTalkEvery, [this] {
     ForgetDead();
-    ForgetHalls();
+    ForgetDataCentres();
     Handle(membership::RosterTick{});
     m_node.m_instances = m_roster.LiveCount();
   });
@@ -133,7 +135,7 @@
   membership::Heartbeat out;
   out.m_instance = m_node.m_settings.m_instance;
   out.m_incarnation = m_incarnation;
-  out.m_hall = m_node.m_settings.m_hall;
+  out.m_dataCentre = m_node.m_settings.m_dataCentre;
   out.m_peerAddress = m_node.m_settings.m_peers.ToString();
   out.m_ready = m_ready;
   out.m_leaving = m_leaving;
@@ -183,29 +185,29 @@
     return;
   }
   const membership::Heartbeat whole = WithLoads(m_node.m_fleet.OwnLoads());
-  if (!m_roster.TellsByHall()) {
+  if (!m_roster.TellsByDataCentre()) {
     Send(whole, aAddresses);
     return;
   }
-  const std::set<std::string> hall = m_roster.OwnDataCentreAddresses();
+  const std::set<std::string> dataCentre = m_roster.OwnDataCentreAddresses();
   std::set<std::string> near;
   std::set<std::string> far;
   for (const std::string& address : aAddresses) {
-    (hall.contains(address) ? near : far).insert(address);
+    (dataCentre.contains(address) ? near : far).insert(address);
   }
   Send(whole, near);
   Send(Own(), far); // Other data centres receive the loads as a sum.
 }
 
 void
-Peers::SendHallLoads(const std::set<std::string>& aAddresses)
+Peers::SendDataCentreLoads(const std::set<std::string>& aAddresses)
 {
   if (aAddresses.empty()) {
     return;
   }
   membership::Heartbeat heartbeat =
-    WithLoads(m_hallLoads.Sum(m_node.m_fleet.OwnLoads(), kMostLoads));
-  heartbeat.m_tellsHall = true;
+    WithLoads(m_dataCentreLoads.Sum(m_node.m_fleet.OwnLoads(), kMostLoads));
+  heartbeat.m_tellsDataCentre = true;
   Send(heartbeat, aAddresses);
 }
 
@@ -225,7 +227,7 @@
 Peers::Duty() const
 {
   const EntrySettings& self = m_node.m_settings;
-  return { m_roster, { self.m_instance, self.m_hall, m_leaving } };
+  return { m_roster, { self.m_instance, self.m_dataCentre, m_leaving } };
 }
 
 bool
@@ -241,17 +243,18 @@
 }
 
 std::optional<Instant>
-Peers::HallReadsSince(std::string_view aHall, StoreGeneration aGeneration) const
+Peers::DataCentreReadsSince(std::string_view aDataCentre,
+                            StoreGeneration aGeneration) const
 {
-  return Duty().ReadsSince(aHall, aGeneration, m_node.Now());
+  return Duty().ReadsSince(aDataCentre, aGeneration, m_node.Now());
 }
 
 std::set<std::string>
-Peers::Halls() const
+Peers::DataCentres() const
 {
   std::set<std::string> out;
   for (const auto& [name, peer] : m_roster.Peers()) {
-    out.insert(peer.m_last.m_hall);
+    out.insert(peer.m_last.m_dataCentre);
   }
   return out;
 }
@@ -269,7 +272,8 @@
     const StorePosition read =
       aTable == Table::Config ? view->m_config : view->m_members;
     if (read > aAfter) {
-      const bool isNear = peer.m_last.m_hall == m_node.m_settings.m_hall;
+      const bool isNear =
+        peer.m_last.m_dataCentre == m_node.m_settings.m_dataCentre;
       (isNear ? near : far).push_back(peer.m_last.m_peerAddress);
     }
   }
@@ -283,7 +287,7 @@
 }
 
 void
-Peers::TellHall()
+Peers::TellDataCentre()
 {
   SendTo(m_roster.OwnDataCentreAddresses());
 }
@@ -357,7 +361,7 @@
 }
 
 void
-Peers::NoteLeaving(const UpstreamLife& aUpstream)
+Peers::NoteLeaving(const UpstreamIncarnation& aUpstream)
 {
   if (m_news.NoteListed(aUpstream)) {
     TellAll();
@@ -410,15 +414,15 @@
     loads.push_back(
       { digest.m_engine, digest.m_running, digest.m_tokensToPrefill });
   }
-  if (aHeartbeat.m_tellsHall) {
-    m_node.m_fleet.SetPeerLoads(kHallPrefix + aHeartbeat.m_hall,
+  if (aHeartbeat.m_tellsDataCentre) {
+    m_node.m_fleet.SetPeerLoads(kDataCentrePrefix + aHeartbeat.m_dataCentre,
                                 std::move(loads));
-    m_countedHalls[aHeartbeat.m_hall] = m_node.Now();
+    m_countedDataCentres[aHeartbeat.m_dataCentre] = m_node.Now();
     return;
   }
-  if (aHeartbeat.m_hall == m_node.m_settings.m_hall) {
-    m_hallLoads.Set(aHeartbeat.m_instance, loads);
-  } else if (m_countedHalls.contains(aHeartbeat.m_hall)) {
+  if (aHeartbeat.m_dataCentre == m_node.m_settings.m_dataCentre) {
+    m_dataCentreLoads.Set(aHeartbeat.m_instance, loads);
+  } else if (m_countedDataCentres.contains(aHeartbeat.m_dataCentre)) {
     // The calls of this instance are included in the sum of its data centre.
     loads.clear();
   }
@@ -426,12 +430,12 @@
 }
 
 void
-Peers::ForgetHalls()
+Peers::ForgetDataCentres()
 {
-  std::erase_if(m_countedHalls, [this](const auto& aHall) {
-    const bool old = m_node.Now() - aHall.second >= kHallLoadsFor;
+  std::erase_if(m_countedDataCentres, [this](const auto& aDataCentre) {
+    const bool old = m_node.Now() - aDataCentre.second >= kDataCentreLoadsFor;
     if (old) {
-      m_node.m_fleet.SetPeerLoads(kHallPrefix + aHall.first, {});
+      m_node.m_fleet.SetPeerLoads(kDataCentrePrefix + aDataCentre.first, {});
     }
     return old;
   });
@@ -456,7 +460,7 @@
     const auto found = peers.find(aInstance);
     const bool alive = found != peers.end() && found->second.m_alive;
     if (!alive) {
-      m_hallLoads.Set(aInstance, {});
+      m_dataCentreLoads.Set(aInstance, {});
       m_node.m_fleet.SetPeerLoads(aInstance, {});
       m_node.m_fleet.SetRoleUpdates(aInstance, {});
       m_node.m_fleet.SetDisaggregatedServices(aInstance, {});
@@ -478,7 +482,7 @@
                  [&](const membership::SendHeartbeat& aSend) {
                    addresses.insert(aSend.m_peerAddress);
                  },
-                 [&](const membership::SendHallLoads& aSend) {
+                 [&](const membership::SendDataCentreLoads& aSend) {
                    others.insert(aSend.m_peerAddress);
                  },
                  [&](const membership::IncarnationEnded&) {},
@@ -489,17 +493,17 @@
                action);
   }
   SendTo(addresses);
-  SendHallLoads(others);
+  SendDataCentreLoads(others);
 }
 
 void
-Peers::TakeLeaving(const UpstreamLife& aUpstream)
+Peers::TakeLeaving(const UpstreamIncarnation& aUpstream)
 {
   const relay::Member* member = m_node.m_fleet.Find(aUpstream.m_id);
   if (member == nullptr) {
     return;
   }
-  const UpstreamLife listed = member->Life();
+  const UpstreamIncarnation listed = member->Incarnation();
   if (m_news.NoteFromPeer(aUpstream, &listed)) {
     m_leaves.emit(aUpstream);
   }
--- a/packages/entry/src/Peers.h
+++ b/packages/entry/src/Peers.h
@@ -34,7 +34,7 @@
   tl::expected<void, net::NetError> Start();
   /** Announces to the other instances that an upstream is leaving, as this
    * instance has read in the list. */
-  void NoteLeaving(const UpstreamLife& aUpstream);
+  void NoteLeaving(const UpstreamIncarnation& aUpstream);
   /** Ends the announcements about an upstream that has been removed from the
    * list. */
   void NoteGone(const std::string& aUpstream);
@@ -75,13 +75,14 @@
    * pollers alone, whatever the others report. */
   bool IsPollerByHash() const;
   /** See `membership::StorePollers::ReadsSince`. */
-  std::optional<Instant> HallReadsSince(std::string_view aHall,
-                                        StoreGeneration aGeneration) const;
+  std::optional<Instant> DataCentreReadsSince(
+    std::string_view aDataCentre,
+    StoreGeneration aGeneration) const;
   /** Returns the data centres from which heartbeats were received. */
-  std::set<std::string> Halls() const;
+  std::set<std::string> DataCentres() const;
   /** Sends a heartbeat of this instance to the live instances of its data
    * centre at once. */
-  void TellHall();
+  void TellDataCentre();
   /** Returns IP:PORT of an instance that has read changes of a table after a
    * position, preferably one of this data centre. Before any heartbeat has been
    * received from such an instance, returns one that the store lists if nothing
@@ -108,7 +109,10 @@
   }
   /** Emitted when another instance announces that a listed upstream is leaving.
    */
-  sigc::signal<void(const UpstreamLife&)>& SignalLeaving() { return m_leaves; }
+  sigc::signal<void(const UpstreamIncarnation&)>& SignalLeaving()
+  {
+    return m_leaves;
+  }
 
 private:
   membership::StorePollers Duty() const;
@@ -126,15 +130,15 @@
     std::span<const relay::PeerLoad> aLoads) const;
   void Send(const membership::Heartbeat& aHeartbeat,
             const std::set<std::string>& aAddresses);
-  void SendHallLoads(const std::set<std::string>& aAddresses);
+  void SendDataCentreLoads(const std::set<std::string>& aAddresses);
   void TakeLoads(const membership::Heartbeat& aHeartbeat);
-  void ForgetHalls();
+  void ForgetDataCentres();
   void ForgetDead();
   void WriteOwnRow();
   void ReadRows();
   void TakeRows(const StorePage& aPage);
   /** Handles another instance's announcement that an upstream is leaving. */
-  void TakeLeaving(const UpstreamLife& aUpstream);
+  void TakeLeaving(const UpstreamIncarnation& aUpstream);
   void RetryLater(sigc::slot<void()> aWhat);
   void NoteGeneration();
 
@@ -157,10 +161,10 @@
   std::optional<std::uint64_t> m_quarantineFingerprint;
   std::set<std::string> m_counted; ///< Instances whose loads are counted.
   /** Loads of the instances of this data centre. */
-  relay::DataCentreLoads m_hallLoads;
+  relay::DataCentreLoads m_dataCentreLoads;
   /** Other data centres whose summed loads are counted, and when the last sum
    * arrived. */
-  std::map<std::string, Instant> m_countedHalls;
+  std::map<std::string, Instant> m_countedDataCentres;
   std::unique_ptr<net::UdpSocket> m_socket;
   net::Watch m_tick;
   net::Watch m_retry;
@@ -168,7 +172,7 @@
   std::vector<std::string> m_listedAddresses;
   bool m_hasListed = false;
   sigc::signal<void(bool)> m_listed;
-  sigc::signal<void(const UpstreamLife&)> m_leaves;
+  sigc::signal<void(const UpstreamIncarnation&)> m_leaves;
   sigc::signal<void(std::span<const membership::CrashDigest>)> m_endingsTold;
   sigc::signal<void(const membership::StoreView&)> m_storeViews;
 };
--- a/packages/entry/src/QuarantineService.cpp
+++ b/packages/entry/src/QuarantineService.cpp
@@ -136,7 +136,7 @@
       member->m_leaving) {
     return;
   }
-  m_broken.NoteBroken(aSend.m_call, member->Life(), m_node.Now());
+  m_broken.NoteBroken(aSend.m_call, member->Incarnation(), m_node.Now());
   m_node.m_log->Write(
     observe::LogLevel::Info,
     "send-broke",
@@ -157,7 +157,7 @@
     return;
   }
   ProbeOf& probe = m_probes[aMember.m_id];
-  probe.m_upstream = aMember.Life();
+  probe.m_upstream = aMember.Incarnation();
   probe.m_began = m_node.Now();
   probe.m_probe = std::make_unique<net::ConnectProbe>(
     *m_node.m_loop,
@@ -178,7 +178,7 @@
   if (found == m_probes.end()) {
     return;
   }
-  const UpstreamLife upstream = found->second.m_upstream;
+  const UpstreamIncarnation upstream = found->second.m_upstream;
   const Instant began = found->second.m_began;
   if (aReach == net::Reach::Unknown) {
     found->second.m_probe.reset(); // `Tick` probes the upstream again.
@@ -197,7 +197,7 @@
 {
   const relay::Member* member = m_node.m_fleet.Find(aUpstream);
   if (member != nullptr && !m_broken.IsEmpty()) {
-    NoteEnded(member->Life(), "connection refused");
+    NoteEnded(member->Incarnation(), "connection refused");
   }
 }
 
@@ -208,27 +208,28 @@
 }
 
 void
-QuarantineService::NoteGone(const UpstreamLife& aUpstream)
+QuarantineService::NoteGone(const UpstreamIncarnation& aUpstream)
 {
   NoteEnded(aUpstream, "no longer listed");
 }
 
 void
-QuarantineService::NoteLaterLife(const std::string& aUpstream)
+QuarantineService::NoteLaterIncarnation(const std::string& aUpstream)
 {
-  for (const UpstreamLife& life : m_broken.UnresolvedIncarnations(aUpstream)) {
-    NoteEnded(life, "later incarnation listed");
+  for (const UpstreamIncarnation& incarnation :
+       m_broken.UnresolvedIncarnations(aUpstream)) {
+    NoteEnded(incarnation, "later incarnation listed");
   }
 }
 
 void
-QuarantineService::NoteEnded(const UpstreamLife& aUpstream,
+QuarantineService::NoteEnded(const UpstreamIncarnation& aUpstream,
                              std::string_view aFrom)
 {
-  const std::uint64_t life = quarantine::IncarnationHash(aUpstream);
+  const std::uint64_t incarnation = quarantine::IncarnationHash(aUpstream);
   std::vector<quarantine::CrashRecord> endings;
   for (const auto& [call, brokeAt] : m_broken.NoteEnded(aUpstream)) {
-    endings.push_back({ call, life });
+    endings.push_back({ call, incarnation });
     Take(endings.back(), m_node.Now() - brokeAt, aFrom);
   }
   if (endings.empty()) {
--- a/packages/entry/src/QuarantineService.h
+++ b/packages/entry/src/QuarantineService.h
@@ -67,10 +67,10 @@
    * broke before then did not crash it. */
   void NoteAnswered(const std::string& aUpstream, Instant aSince);
   /** The upstream was removed from the list. */
-  void NoteGone(const UpstreamLife& aUpstream);
+  void NoteGone(const UpstreamIncarnation& aUpstream);
   /** The list has a later incarnation of the upstream, so all earlier ones have
    * ended. */
-  void NoteLaterLife(const std::string& aUpstream);
+  void NoteLaterIncarnation(const std::string& aUpstream);
 
   /** Returns the number of quarantined calls. */
   std::size_t Held() const { return m_quarantine.Held(); }
@@ -81,7 +81,7 @@
   /** A connection attempt that tests whether an upstream is still up. */
   struct ProbeOf
   {
-    UpstreamLife m_upstream;
+    UpstreamIncarnation m_upstream;
     Instant m_began;
     /** Null after a probe without an answer, until the next one. */
     std::unique_ptr<net::ConnectProbe> m_probe;
@@ -93,7 +93,7 @@
   /** Records the crash of this incarnation for all calls with a broken run on
    * it, and reports these crash records to the peers. `aFrom` names the
    * evidence in the log. */
-  void NoteEnded(const UpstreamLife& aUpstream, std::string_view aFrom);
+  void NoteEnded(const UpstreamIncarnation& aUpstream, std::string_view aFrom);
   /** Adds one crash record, seen first `aAge` ago, to the quarantine, and logs
    * the change. `aFrom` names its source in the log. */
   void Take(const quarantine::CrashRecord& aEnding,
--- a/packages/entry/src/RelayCall.cpp
+++ b/packages/entry/src/RelayCall.cpp
@@ -176,7 +176,7 @@
   }
   relay::PlaceRequest request;
   request.m_service = m_start.m_service;
-  request.m_hall = m_node.m_settings.m_hall;
+  request.m_dataCentre = m_node.m_settings.m_dataCentre;
   request.m_prompt = m_start.m_head.m_prompt;
   if (m_start.m_kind != nullptr) {
     request.m_typical = m_start.m_kind->m_typical.Value();
--- a/packages/experiment/src/FleetModel.cpp
+++ b/packages/experiment/src/FleetModel.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr const char* kService = "llm";
-constexpr const char* kHall = "hall";
+constexpr const char* kDataCentre = "hall";
 /** From an instance to an engine, in ms: between two halls of one region. */
 constexpr Moment kWayMs = 1.5;
 /** When an instance gives a connection up that does not come about, in ms. */
@@ -154,7 +154,7 @@
   relay::Member member;
   member.m_id = aEngine.m_id;
   member.m_service = kService;
-  member.m_hall = kHall;
+  member.m_dataCentre = kDataCentre;
   member.m_address = aEngine.m_id;
   member.m_slots = m_scenario.m_engine.m_slots;
   member.m_role = aEngine.m_role;
@@ -196,7 +196,7 @@
   const Duration spent(std::llround(m_now - aCall.m_firstAt));
   relay::PlaceRequest out;
   out.m_service = kService;
-  out.m_hall = kHall;
+  out.m_dataCentre = kDataCentre;
   out.m_prompt = PromptOf(aCall);
   out.m_typical = KindOf(aCall).m_typical.Value();
   out.m_mayPassForItsSize = KindOf(aCall).m_allowance.MayPass();
--- a/packages/membership/bench/StoreDutyBench.cpp
+++ b/packages/membership/bench/StoreDutyBench.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr Instant kNow{ Duration{ 1'000'000 } };
-constexpr int kHalls = 5;
+constexpr int kDataCentres = 5;
 
 /**
  * Returns a roster in which only the pollers have lost the store, so that the
@@ -24,20 +24,21 @@
   Roster roster("self");
   std::map<std::string, std::vector<std::uint64_t>> hashes;
   for (std::int64_t i = 0; i < aPeers; ++i) {
-    hashes["hall-" + std::to_string(i % kHalls)].push_back(
+    hashes["hall-" + std::to_string(i % kDataCentres)].push_back(
       Hash64("edge-" + std::to_string(i)));
   }
-  for (auto& [hall, ofHall] : hashes) {
-    std::sort(ofHall.begin(), ofHall.end());
+  for (auto& [dataCentre, ofDataCentre] : hashes) {
+    std::sort(ofDataCentre.begin(), ofDataCentre.end());
   }
   for (std::int64_t i = 0; i < aPeers; ++i) {
     Heartbeat heartbeat;
     heartbeat.m_instance = "edge-" + std::to_string(i);
     heartbeat.m_incarnation = 1;
-    heartbeat.m_hall = "hall-" + std::to_string(i % kHalls);
-    const std::vector<std::uint64_t>& ofHall = hashes[heartbeat.m_hall];
+    heartbeat.m_dataCentre = "hall-" + std::to_string(i % kDataCentres);
+    const std::vector<std::uint64_t>& ofDataCentre =
+      hashes[heartbeat.m_dataCentre];
     const bool lost =
-      Hash64(heartbeat.m_instance) <= ofHall[StorePollers::kInHall];
+      Hash64(heartbeat.m_instance) <= ofDataCentre[StorePollers::kInDataCentre];
     heartbeat.m_store = StoreView{ { 1, 1 }, { 1, 1 }, lost };
     roster.Handle(HeartbeatArrived{ heartbeat }, kNow);
   }
--- a/packages/membership/include/ridgeferry/membership/Roster.h
+++ b/packages/membership/include/ridgeferry/membership/Roster.h
@@ -5,7 +5,7 @@
 #include <optional>
 #include <ridgeferry/base/StorePosition.h>
 #include <ridgeferry/base/Time.h>
-#include <ridgeferry/base/UpstreamLife.h>
+#include <ridgeferry/base/UpstreamIncarnation.h>
 #include <set>
 #include <span>
 #include <string>
@@ -106,7 +106,7 @@
    * higher value, unless the clock was set back.
    */
   std::uint64_t m_incarnation = 0;
-  std::string m_hall;
+  std::string m_dataCentre;
   /** IP:PORT of the sender; it sends its heartbeats from this address. */
   std::string m_peerAddress;
   bool m_ready = false;
@@ -116,13 +116,13 @@
    * Upstreams known to be leaving. They are gossiped so that a process that
    * cannot reach the platform's list learns of them.
    */
-  std::vector<UpstreamLife> m_leavingUpstreams;
+  std::vector<UpstreamIncarnation> m_leavingUpstreams;
   std::vector<EngineDigest> m_engines; ///< Engines that the sender observes.
   /**
    * If true, the loads in `m_engines` are sums over all instances of the
    * sender's data centre.
    */
-  bool m_tellsHall = false;
+  bool m_tellsDataCentre = false;
   /** Engines whose role the sender is changing. */
   std::vector<RoleDigest> m_roles;
   /** Prefills that the sender ordered recently. */
@@ -179,7 +179,7 @@
  * Sends the summed loads of this data centre to one instance of another data
  * centre.
  */
-struct SendHallLoads
+struct SendDataCentreLoads
 {
   std::string m_peerAddress;
 };
@@ -195,10 +195,12 @@
 /** A peer reported that an upstream is leaving. */
 struct UpstreamLeaving
 {
-  UpstreamLife m_upstream;
+  UpstreamIncarnation m_upstream;
 };
-using RosterAction =
-  std::variant<SendHeartbeat, SendHallLoads, IncarnationEnded, UpstreamLeaving>;
+using RosterAction = std::variant<SendHeartbeat,
+                                  SendDataCentreLoads,
+                                  IncarnationEnded,
+                                  UpstreamLeaving>;
 
 struct RosterTimes
 {
@@ -252,10 +254,10 @@
 class Roster
 {
 public:
-  /** `aHall` is the data centre of this instance. */
+  /** `aDataCentre` is the data centre of this instance. */
   Roster(std::string aInstance,
          RosterTimes aTimes = {},
-         std::string aHall = {});
+         std::string aDataCentre = {});
 
   std::vector<RosterAction> Handle(const RosterEvent& aEvent, Instant aNow);
 
@@ -286,7 +288,7 @@
    * Returns whether other data centres receive summed loads; see
    * `RosterTimes::m_maxRoundToAll`.
    */
-  bool TellsByHall() const;
+  bool TellsByDataCentre() const;
   bool IsInOwnDataCentre(const PeerView& aPeer) const;
   /**
    * Returns the addresses of all known peers in the own data centre, dead ones
@@ -305,12 +307,12 @@
   void OnTick(Instant aNow, Actions& aActions);
   void ExpirePeers(Instant aNow);
   void SendToAll(Actions& aActions);
-  void TellByHall(Instant aNow, Actions& aActions);
-  void TellOtherHalls(Actions& aActions);
+  void TellByDataCentre(Instant aNow, Actions& aActions);
+  void TellOtherDataCentres(Actions& aActions);
   void CountOwnDataCentre();
   Duration TimeForAll() const;
 
-  std::string m_hall;
+  std::string m_dataCentre;
   std::string m_instance;
   RosterTimes m_times;
   std::map<std::string, PeerView, std::less<>> m_peers;
--- a/packages/membership/include/ridgeferry/membership/StoreDuty.h
+++ b/packages/membership/include/ridgeferry/membership/StoreDuty.h
@@ -11,7 +11,7 @@
 struct PollerIdentity
 {
   std::string m_instance;
-  std::string m_hall;
+  std::string m_dataCentre;
   bool m_leaving = false;
 };
 
@@ -26,7 +26,7 @@
 class StorePollers
 {
 public:
-  static constexpr std::size_t kInHall = 2;
+  static constexpr std::size_t kInDataCentre = 2;
   /**
    * Number of heartbeat intervals within which a heartbeat of a peer must have
    * arrived for its state of the store to count: a single lost heartbeat is
@@ -43,12 +43,12 @@
    */
   bool HearsWorkingPoller(Instant aNow) const;
   /**
-   * Returns since when some instance of the data centre `aHall` has read the
-   * store without a failure. Only instances count whose heartbeats are recent
-   * and that read generation `aGeneration` of the store or a later one;
+   * Returns since when some instance of the data centre `aDataCentre` has read
+   * the store without a failure. Only instances count whose heartbeats are
+   * recent and that read generation `aGeneration` of the store or a later one;
    * std::nullopt if there are none.
    */
-  std::optional<Instant> ReadsSince(std::string_view aHall,
+  std::optional<Instant> ReadsSince(std::string_view aDataCentre,
                                     StoreGeneration aGeneration,
                                     Instant aNow) const;
   /**
--- a/packages/membership/src/Roster.cpp
+++ b/packages/membership/src/Roster.cpp
@@ -6,8 +6,10 @@
 
 namespace ridgeferry::membership {
 
-Roster::Roster(std::string aInstance, RosterTimes aTimes, std::string aHall)
-  : m_hall(std::move(aHall))
+Roster::Roster(std::string aInstance,
+               RosterTimes aTimes,
+               std::string aDataCentre)
+  : m_dataCentre(std::move(aDataCentre))
   , m_instance(std::move(aInstance))
   , m_times(aTimes)
   , m_recipientTurn(Hash64(m_instance))
@@ -43,7 +45,7 @@
   }
   PeerView& peer = m_peers[aHeartbeat.m_instance];
   const std::uint64_t known = peer.m_last.m_incarnation;
-  const bool moved = peer.m_last.m_hall != aHeartbeat.m_hall;
+  const bool moved = peer.m_last.m_dataCentre != aHeartbeat.m_dataCentre;
   if (aHeartbeat.m_incarnation < known && peer.m_alive) {
     return; // This is a delayed heartbeat of an earlier incarnation.
   }
@@ -61,7 +63,7 @@
     CountOwnDataCentre();
   }
   peer.m_alive = true;
-  for (const UpstreamLife& upstream : aHeartbeat.m_leavingUpstreams) {
+  for (const UpstreamIncarnation& upstream : aHeartbeat.m_leavingUpstreams) {
     aActions.emplace_back(UpstreamLeaving{ upstream });
   }
 }
@@ -74,8 +76,8 @@
     return;
   }
   m_nextHeartbeat = aNow + HeartbeatInterval();
-  if (TellsByHall()) {
-    TellByHall(aNow, aActions);
+  if (TellsByDataCentre()) {
+    TellByDataCentre(aNow, aActions);
   } else {
     SendToAll(aActions);
   }
@@ -84,11 +86,11 @@
 void
 Roster::ExpirePeers(Instant aNow)
 {
-  const bool byHall = TellsByHall();
+  const bool byDataCentre = TellsByDataCentre();
   for (auto it = m_peers.begin(); it != m_peers.end();) {
     PeerView& peer = it->second;
     const Duration silence = aNow - peer.m_lastHeartbeatAt;
-    const int missed = byHall && !IsInOwnDataCentre(peer)
+    const int missed = byDataCentre && !IsInOwnDataCentre(peer)
                          ? m_times.m_remoteDeadAfterMissed
                          : m_times.m_deadAfterMissed;
     if (silence >= IntervalOf(peer) * missed) {
@@ -117,7 +119,7 @@
 }
 
 void
-Roster::TellByHall(Instant aNow, Actions& aActions)
+Roster::TellByDataCentre(Instant aNow, Actions& aActions)
 {
   if (aNow >= m_nextRemoteHeartbeat.value_or(aNow)) {
     m_nextRemoteHeartbeat = aNow + m_times.m_remoteHeartbeatEvery;
@@ -129,31 +131,31 @@
       }
     }
   }
-  TellOtherHalls(aActions);
+  TellOtherDataCentres(aActions);
 }
 
 void
-Roster::TellOtherHalls(Actions& aActions)
+Roster::TellOtherDataCentres(Actions& aActions)
 {
-  std::map<std::string_view, std::vector<const PeerView*>> halls;
+  std::map<std::string_view, std::vector<const PeerView*>> dataCentres;
   for (const auto& [name, peer] : m_peers) {
     if (peer.m_alive && !IsInOwnDataCentre(peer)) {
-      halls[peer.m_last.m_hall].push_back(&peer);
+      dataCentres[peer.m_last.m_dataCentre].push_back(&peer);
     }
   }
   // `m_recipientTurn` starts at the hash of the own name, so that the instances
   // of this data centre choose different recipients.
   ++m_recipientTurn;
-  for (const auto& [hall, peers] : halls) {
+  for (const auto& [dataCentre, peers] : dataCentres) {
     const PeerView& peer = *peers[m_recipientTurn % peers.size()];
-    aActions.emplace_back(SendHallLoads{ peer.m_last.m_peerAddress });
+    aActions.emplace_back(SendDataCentreLoads{ peer.m_last.m_peerAddress });
   }
 }
 
 bool
 Roster::IsInOwnDataCentre(const PeerView& aPeer) const
 {
-  return aPeer.m_last.m_hall == m_hall;
+  return aPeer.m_last.m_dataCentre == m_dataCentre;
 }
 
 void
@@ -174,7 +176,7 @@
 }
 
 bool
-Roster::TellsByHall() const
+Roster::TellsByDataCentre() const
 {
   return TimeForAll() > m_times.m_maxRoundToAll;
 }
@@ -182,7 +184,7 @@
 Duration
 Roster::IntervalOf(const PeerView& aPeer) const
 {
-  return TellsByHall() && !IsInOwnDataCentre(aPeer)
+  return TellsByDataCentre() && !IsInOwnDataCentre(aPeer)
            ? m_times.m_remoteHeartbeatEvery
            : HeartbeatInterval();
 }
@@ -191,7 +193,7 @@
 Roster::HeartbeatInterval() const
 {
   return std::max(m_times.m_heartbeatEvery,
-                  TellsByHall()
+                  TellsByDataCentre()
                     ? m_times.m_heartbeatEachPeer * m_peersInOwnDataCentre
                     : TimeForAll());
 }
--- a/packages/membership/src/StoreDuty.cpp
+++ b/packages/membership/src/StoreDuty.cpp
@@ -13,9 +13,9 @@
 
 std::uint64_t
 BoundOf(const std::map<std::string_view, std::uint64_t>& aBounds,
-        std::string_view aHall)
+        std::string_view aDataCentre)
 {
-  const auto found = aBounds.find(aHall);
+  const auto found = aBounds.find(aDataCentre);
   return found == aBounds.end() ? kAnyHash : found->second;
 }
 
@@ -32,23 +32,24 @@
 StorePollers::PollerBounds() const
 {
   std::map<std::string_view, std::vector<std::uint64_t>> lowest;
-  const auto note = [&](std::string_view aHall, std::uint64_t aHash) {
-    std::vector<std::uint64_t>& ofHall = lowest[aHall];
-    ofHall.insert(std::upper_bound(ofHall.begin(), ofHall.end(), aHash), aHash);
-    ofHall.resize(std::min(ofHall.size(), kInHall));
+  const auto note = [&](std::string_view aDataCentre, std::uint64_t aHash) {
+    std::vector<std::uint64_t>& ofDataCentre = lowest[aDataCentre];
+    ofDataCentre.insert(
+      std::upper_bound(ofDataCentre.begin(), ofDataCentre.end(), aHash), aHash);
+    ofDataCentre.resize(std::min(ofDataCentre.size(), kInDataCentre));
   };
   if (!m_asker.m_leaving) {
-    note(m_asker.m_hall, m_hash);
+    note(m_asker.m_dataCentre, m_hash);
   }
   for (const auto& [name, peer] : m_roster.Peers()) {
     if (peer.m_alive && !peer.m_last.m_leaving) {
-      note(peer.m_last.m_hall, peer.m_hash);
+      note(peer.m_last.m_dataCentre, peer.m_hash);
     }
   }
   Bounds out;
-  for (const auto& [hall, hashes] : lowest) {
-    const bool isFull = hashes.size() == kInHall;
-    out[hall] = isFull ? hashes.back() : kAnyHash;
+  for (const auto& [dataCentre, hashes] : lowest) {
+    const bool isFull = hashes.size() == kInDataCentre;
+    out[dataCentre] = isFull ? hashes.back() : kAnyHash;
   }
   return out;
 }
@@ -62,7 +63,7 @@
     const PeerView& peer = aEntry.second;
     return !peer.m_last.m_leaving && peer.m_last.m_store &&
            !peer.m_last.m_store->m_lost && IsFresh(peer, aNow) &&
-           peer.m_hash <= BoundOf(bounds, peer.m_last.m_hall);
+           peer.m_hash <= BoundOf(bounds, peer.m_last.m_dataCentre);
   });
 }
 
@@ -74,7 +75,7 @@
 }
 
 std::optional<Instant>
-StorePollers::ReadsSince(std::string_view aHall,
+StorePollers::ReadsSince(std::string_view aDataCentre,
                          StoreGeneration aGeneration,
                          Instant aNow) const
 {
@@ -83,7 +84,8 @@
     const auto& view = peer.m_last.m_store;
     const bool reads = view && view->m_readsFor && !view->m_lost &&
                        view->m_members.m_generation >= aGeneration;
-    if (!reads || peer.m_last.m_hall != aHall || !IsFresh(peer, aNow)) {
+    if (!reads || peer.m_last.m_dataCentre != aDataCentre ||
+        !IsFresh(peer, aNow)) {
       continue;
     }
     const Instant began = peer.m_lastHeartbeatAt - *view->m_readsFor;
@@ -101,7 +103,7 @@
 bool
 StorePollers::IsPollerByHash() const
 {
-  return m_hash <= BoundOf(PollerBounds(), m_asker.m_hall);
+  return m_hash <= BoundOf(PollerBounds(), m_asker.m_dataCentre);
 }
 
 } // namespace ridgeferry::membership
--- a/packages/membership/tests/RosterTest.cpp
+++ b/packages/membership/tests/RosterTest.cpp
@@ -111,7 +111,7 @@
 class RosterIntervalTest : public ::testing::TestWithParam<IntervalCase>
 {};
 
-TEST_P(RosterIntervalTest, GrowsWithTheHall)
+TEST_P(RosterIntervalTest, GrowsWithTheDataCentre)
 {
   Roster roster("self");
   for (int i = 0; i < GetParam().m_peers; ++i) {
@@ -120,7 +120,7 @@
   EXPECT_EQ(roster.HeartbeatInterval(), Duration(GetParam().m_milliseconds));
 }
 
-INSTANTIATE_TEST_SUITE_P(Halls,
+INSTANTIATE_TEST_SUITE_P(DataCentres,
                          RosterIntervalTest,
                          ::testing::Values(IntervalCase{ 0, 1000 },
                                            IntervalCase{ 8, 1000 },
@@ -131,18 +131,18 @@
  * Simulates instances in several data centres that exchange heartbeats in
  * virtual time.
  */
-class HallsWorld
+class DataCentresWorld
 {
 public:
-  HallsWorld(int aHalls, int aInHall)
-    : m_halls(aHalls)
+  DataCentresWorld(int aDataCentres, int aInDataCentre)
+    : m_dataCentres(aDataCentres)
   {
-    for (int i = 0; i < aHalls * aInHall; ++i) {
-      m_rosters.emplace_back(Name(i), Times(), HallOf(i));
-      m_heardOf.emplace_back(static_cast<std::size_t>(aHalls), kStart);
+    for (int i = 0; i < aDataCentres * aInDataCentre; ++i) {
+      m_rosters.emplace_back(Name(i), Times(), DataCentreOf(i));
+      m_heardOf.emplace_back(static_cast<std::size_t>(aDataCentres), kStart);
     }
     InstancesListed listed;
-    for (int i = 0; i < aHalls * aInHall; ++i) {
+    for (int i = 0; i < aDataCentres * aInDataCentre; ++i) {
       listed.m_instances.push_back({ Name(i), Name(i) });
     }
     for (std::size_t i = 0; i < m_rosters.size(); ++i) {
@@ -180,7 +180,7 @@
         if (const auto* send = std::get_if<SendHeartbeat>(&action)) {
           Deliver(i, send->m_peerAddress, false);
         }
-        if (const auto* send = std::get_if<SendHallLoads>(&action)) {
+        if (const auto* send = std::get_if<SendDataCentreLoads>(&action)) {
           Deliver(i, send->m_peerAddress, true);
         }
       }
@@ -195,9 +195,10 @@
   {
     std::vector<Duration> out;
     for (std::size_t i = 0; i < m_rosters.size(); ++i) {
-      for (int hall = 0; hall < m_halls; ++hall) {
-        if (hall != static_cast<int>(i) % m_halls) {
-          out.push_back(m_now - m_heardOf[i][static_cast<std::size_t>(hall)]);
+      for (int dataCentre = 0; dataCentre < m_dataCentres; ++dataCentre) {
+        if (dataCentre != static_cast<int>(i) % m_dataCentres) {
+          out.push_back(m_now -
+                        m_heardOf[i][static_cast<std::size_t>(dataCentre)]);
         }
       }
     }
@@ -210,25 +211,25 @@
 
 private:
   static std::string Name(int aIndex) { return "i" + std::to_string(aIndex); }
-  std::string HallOf(int aIndex) const
+  std::string DataCentreOf(int aIndex) const
   {
-    return "hall" + std::to_string(aIndex % m_halls);
+    return "hall" + std::to_string(aIndex % m_dataCentres);
   }
 
-  void Deliver(std::size_t aFrom, const std::string& aTo, bool aOfHall)
+  void Deliver(std::size_t aFrom, const std::string& aTo, bool aOfDataCentre)
   {
     const auto to = static_cast<std::size_t>(std::stoi(aTo.substr(1)));
-    if (aOfHall) {
-      m_heardOf[to][aFrom % static_cast<std::size_t>(m_halls)] = m_now;
+    if (aOfDataCentre) {
+      m_heardOf[to][aFrom % static_cast<std::size_t>(m_dataCentres)] = m_now;
       return;
     }
     Heartbeat heartbeat = From(Name(static_cast<int>(aFrom)));
     heartbeat.m_peerAddress = heartbeat.m_instance;
-    heartbeat.m_hall = HallOf(static_cast<int>(aFrom));
+    heartbeat.m_dataCentre = DataCentreOf(static_cast<int>(aFrom));
     m_rosters[to].Handle(HeartbeatArrived{ heartbeat }, m_now);
   }
 
-  int m_halls;
+  int m_dataCentres;
   std::vector<Roster> m_rosters;
   /** Time of the latest sums, by receiving instance and data centre. */
   std::vector<std::vector<Instant>> m_heardOf;
@@ -236,25 +237,25 @@
   Instant m_now = kStart;
 };
 
-struct HallsCase
+struct DataCentresCase
 {
   const char* m_name;
-  int m_halls;
-  int m_inHall;
+  int m_dataCentres;
+  int m_inDataCentre;
   int m_lostOneIn;
 };
 
-class RosterHallsTest : public ::testing::TestWithParam<HallsCase>
+class RosterDataCentresTest : public ::testing::TestWithParam<DataCentresCase>
 {};
 
 // Guards against stale loads of engines in other data centres. The loads in a
 // message are a quarter of a second old at most and half of that in the median,
 // so the load known of an engine is 0.4 s old in the median; with heartbeats to
 // all peers it was 0.6 s and more.
-TEST_P(RosterHallsTest, EachInstanceHearsOfEachHallOften)
+TEST_P(RosterDataCentresTest, EachInstanceHearsOfEachDataCentreOften)
 {
-  const HallsCase& that = GetParam();
-  HallsWorld world(that.m_halls, that.m_inHall);
+  const DataCentresCase& that = GetParam();
+  DataCentresWorld world(that.m_dataCentres, that.m_inDataCentre);
   for (int i = 0; i < 60; ++i) {
     world.Step(that.m_lostOneIn);
   }
@@ -272,32 +273,32 @@
   // A heartbeat to all peers every 4 ms times the number of peers would send
   // 250 messages a second per instance.
   const double each = static_cast<double>(world.Sent() - before) /
-                      (that.m_halls * that.m_inHall) / 2.0;
+                      (that.m_dataCentres * that.m_inDataCentre) / 2.0;
   EXPECT_LE(each, 450);
-  const std::size_t all = static_cast<std::size_t>(that.m_halls) *
-                          static_cast<std::size_t>(that.m_inHall);
+  const std::size_t all = static_cast<std::size_t>(that.m_dataCentres) *
+                          static_cast<std::size_t>(that.m_inDataCentre);
   // A peer that receives heartbeats seldom may count as dead for a moment where
   // messages are lost.
   EXPECT_GE(world.Of(0).LiveCount(),
             that.m_lostOneIn == 0 ? all : all * 9 / 10);
-  EXPECT_TRUE(world.Of(0).TellsByHall());
+  EXPECT_TRUE(world.Of(0).TellsByDataCentre());
 }
 
 INSTANTIATE_TEST_SUITE_P(
   Sizes,
-  RosterHallsTest,
-  ::testing::Values(HallsCase{ "FiveHallsOfTwenty", 5, 20, 0 },
-                    HallsCase{ "FiveHallsOfThirtyWithLosses", 5, 30, 10 },
-                    HallsCase{ "EightHallsOfTwenty", 8, 20, 0 }),
+  RosterDataCentresTest,
+  ::testing::Values(DataCentresCase{ "FiveHallsOfTwenty", 5, 20, 0 },
+                    DataCentresCase{ "FiveHallsOfThirtyWithLosses", 5, 30, 10 },
+                    DataCentresCase{ "EightHallsOfTwenty", 8, 20, 0 }),
   [](const auto& aInfo) { return std::string(aInfo.param.m_name); });
 
-TEST(RosterHallsSmallTest, FewInstancesSendToAll)
+TEST(RosterDataCentresSmallTest, FewInstancesSendToAll)
 {
-  HallsWorld world(3, 20);
+  DataCentresWorld world(3, 20);
   for (int i = 0; i < 50; ++i) {
     world.Step(0);
   }
-  EXPECT_FALSE(world.Of(0).TellsByHall());
+  EXPECT_FALSE(world.Of(0).TellsByDataCentre());
   EXPECT_EQ(world.Of(0).LiveCount(), 60U);
 }
 
--- a/packages/membership/tests/StoreDutyTest.cpp
+++ b/packages/membership/tests/StoreDutyTest.cpp
@@ -26,12 +26,12 @@
 }
 
 Heartbeat
-From(const std::string& aInstance, const std::string& aHall, bool aLost)
+From(const std::string& aInstance, const std::string& aDataCentre, bool aLost)
 {
   Heartbeat out;
   out.m_instance = aInstance;
   out.m_incarnation = 1;
-  out.m_hall = aHall;
+  out.m_dataCentre = aDataCentre;
   out.m_peerAddress = aInstance + ":1";
   out.m_store = StoreView{ { 1, 1 }, { 1, 1 }, aLost };
   return out;
@@ -52,7 +52,7 @@
    * A heartbeat arrived from a poller of another data centre whose reads
    * succeed.
    */
-  bool m_otherHall;
+  bool m_otherDataCentre;
   bool m_onDuty;
 };
 
@@ -70,7 +70,7 @@
     roster.Handle(HeartbeatArrived{ From(names[1], "hall", that.m_secondLost) },
                   kStart);
   }
-  if (that.m_otherHall) {
+  if (that.m_otherDataCentre) {
     roster.Handle(HeartbeatArrived{ From("far", "other", false) }, kStart);
   }
   const StorePollers duty(roster, { names[2], "hall", false });
@@ -103,7 +103,7 @@
   EXPECT_TRUE(duty.IsPoller(kStart + fresh + Duration{ 1 }));
 }
 
-TEST(StorePollersTimeTest, AHallHasTwoOnDutyByWhatEachOfThemHears)
+TEST(StorePollersTimeTest, ADataCentreHasTwoOnDutyByWhatEachOfThemHears)
 {
   const auto names = NamesInPollerOrder(5);
   std::size_t onDuty = 0;
@@ -140,7 +140,7 @@
 struct ReadsCase
 {
   const char* m_name;
-  const char* m_hall;
+  const char* m_dataCentre;
   std::optional<int> m_readsForMs;
   bool m_lost;
   int m_heardBeforeMs;
@@ -148,14 +148,14 @@
   std::optional<int> m_sinceMs;
 };
 
-class HallReadsTest : public ::testing::TestWithParam<ReadsCase>
+class DataCentreReadsTest : public ::testing::TestWithParam<ReadsCase>
 {};
 
-TEST_P(HallReadsTest, AHallReadsAsLongAsOneOfItsInstancesDoes)
+TEST_P(DataCentreReadsTest, ADataCentreReadsAsLongAsOneOfItsInstancesDoes)
 {
   const ReadsCase& that = GetParam();
   const Instant now = kStart + Duration{ 500 };
-  Heartbeat heartbeat = From("a", that.m_hall, that.m_lost);
+  Heartbeat heartbeat = From("a", that.m_dataCentre, that.m_lost);
   if (that.m_readsForMs) {
     heartbeat.m_store->m_readsFor = Duration{ *that.m_readsForMs };
   }
@@ -172,7 +172,7 @@
 
 INSTANTIATE_TEST_SUITE_P(
   Words,
-  HallReadsTest,
+  DataCentreReadsTest,
   ::testing::Values(
     ReadsCase{ "Reads", "hall", 900, false, 0, -400 },
     ReadsCase{ "HeardALittleBefore", "hall", 900, false, 100, -500 },
@@ -185,7 +185,7 @@
 // After the store was restored from an older copy, reads of the earlier
 // generation say nothing about the rows that it has now, so they must not
 // count.
-TEST(HallReadsGenerationTest, ReadsOfAnEarlierGenerationDoNotCount)
+TEST(DataCentreReadsGenerationTest, ReadsOfAnEarlierGenerationDoNotCount)
 {
   Roster roster("self");
   Heartbeat heartbeat = From("a", "hall", false);
@@ -196,7 +196,7 @@
   EXPECT_FALSE(duty.ReadsSince("hall", 2, kStart).has_value());
 }
 
-TEST(HallReadsTwoTest, TheLongestReaderSpeaksForTheHall)
+TEST(DataCentreReadsTwoTest, TheLongestReaderSpeaksForTheDataCentre)
 {
   Roster roster("self");
   for (const int readsForMs : { 300, 5000, 40 }) {
--- a/packages/native/include/ridgeferry/native/InstanceList.h
+++ b/packages/native/include/ridgeferry/native/InstanceList.h
@@ -20,7 +20,7 @@
 {
   std::string m_id;
   ListedKind m_kind = ListedKind::Engine;
-  std::string m_hall;
+  std::string m_dataCentre;
   std::string m_address; ///< IP:PORT; of an instance: for its peers.
   std::map<std::string, std::string, std::less<>> m_labels;
   bool m_leaving = false;
@@ -33,7 +33,7 @@
   virtual ~InstanceList() = default;
   /** The members of one hall; nothing if the list cannot be had. */
   virtual void Get(
-    const std::string& aHall,
+    const std::string& aDataCentre,
     sigc::slot<void(std::optional<std::vector<ListedMember>>)> aDone) = 0;
 };
 
--- a/packages/native/src/HttpInstanceList.cpp
+++ b/packages/native/src/HttpInstanceList.cpp
@@ -32,7 +32,7 @@
       ListedMember member;
       member.m_id = item.at("id").get<std::string>();
       member.m_kind = KindFromName(item.at("kind").get<std::string>());
-      member.m_hall = item.at("hall").get<std::string>();
+      member.m_dataCentre = item.at("hall").get<std::string>();
       member.m_address = item.at("address").get<std::string>();
       member.m_leaving = item.at("state").get<std::string>() == "leaving";
       for (const auto& [key, value] : item.at("labels").items()) {
@@ -56,12 +56,12 @@
   }
 
   void Get(
-    const std::string& aHall,
+    const std::string& aDataCentre,
     sigc::slot<void(std::optional<std::vector<ListedMember>>)> aDone) override
   {
     net::HttpRequest request;
     request.m_address = m_address;
-    request.m_target = "/instances?hall=" + net::EncodeUriPart(aHall);
+    request.m_target = "/instances?hall=" + net::EncodeUriPart(aDataCentre);
     request.m_timeout = kPlatformTimeout;
     net::HttpCallbacks callbacks;
     callbacks.m_done = [aDone](const net::HttpResponse& aResponse) {
--- a/packages/protocol/src/Messages.cpp
+++ b/packages/protocol/src/Messages.cpp
@@ -80,17 +80,17 @@
 {
   std::vector<std::int64_t> high;
   std::vector<std::int64_t> low;
-  std::vector<std::int64_t> lives;
+  std::vector<std::int64_t> incarnations;
   std::vector<bool> cleared;
   for (const membership::CrashDigest& ending : aEndings) {
     high.push_back(static_cast<std::int64_t>(ending.m_callHigh));
     low.push_back(static_cast<std::int64_t>(ending.m_callLow));
-    lives.push_back(static_cast<std::int64_t>(ending.m_incarnationHash));
+    incarnations.push_back(static_cast<std::int64_t>(ending.m_incarnationHash));
     cleared.push_back(ending.m_cleared);
   }
   aOut.__set_endedCallsHigh(high);
   aOut.__set_endedCallsLow(low);
-  aOut.__set_endedLives(lives);
+  aOut.__set_endedLives(incarnations);
   aOut.__set_endingsCleared(cleared);
 }
 
@@ -121,7 +121,7 @@
   wire::Heartbeat out;
   out.instance = aMessage.m_instance;
   out.incarnation = static_cast<std::int64_t>(aMessage.m_incarnation);
-  out.hall = aMessage.m_hall;
+  out.hall = aMessage.m_dataCentre;
   out.peerAddress = aMessage.m_peerAddress;
   out.ready = aMessage.m_ready;
   out.leaving = aMessage.m_leaving;
@@ -129,7 +129,7 @@
   if (!aMessage.m_leavingUpstreams.empty()) {
     std::vector<std::string> ids;
     std::vector<std::int64_t> born;
-    for (const UpstreamLife& upstream : aMessage.m_leavingUpstreams) {
+    for (const UpstreamIncarnation& upstream : aMessage.m_leavingUpstreams) {
       ids.push_back(upstream.m_id);
       born.push_back(upstream.m_born.value_or(kBornNotSaid));
     }
@@ -156,7 +156,7 @@
       out.__set_work(work);
     }
   }
-  if (aMessage.m_tellsHall) {
+  if (aMessage.m_tellsDataCentre) {
     out.__set_tellsHall(true);
   }
   if (!aMessage.m_roles.empty()) {
@@ -277,7 +277,7 @@
   membership::Heartbeat out;
   out.m_instance = in->instance;
   out.m_incarnation = static_cast<std::uint64_t>(in->incarnation);
-  out.m_hall = in->hall;
+  out.m_dataCentre = in->hall;
   out.m_peerAddress = in->peerAddress;
   out.m_ready = in->ready;
   out.m_leaving = in->leaving;
@@ -287,7 +287,7 @@
     return tl::unexpected(DecodeError{ "births of a different length" });
   }
   for (std::size_t i = 0; i < in->leavingUpstreams.size(); ++i) {
-    UpstreamLife upstream{ in->leavingUpstreams[i] };
+    UpstreamIncarnation upstream{ in->leavingUpstreams[i] };
     if (!in->leavingBorn.empty() && in->leavingBorn[i] >= 0) {
       upstream.m_born = in->leavingBorn[i];
     }
@@ -304,7 +304,7 @@
                               in->loads[i],
                               in->work.empty() ? 0 : in->work[i] });
   }
-  out.m_tellsHall = in->tellsHall;
+  out.m_tellsDataCentre = in->tellsHall;
   if (in->changedParts.size() != in->changedEngines.size()) {
     return tl::unexpected(DecodeError{ "parts of different lengths" });
   }
--- a/packages/protocol/tests/MessagesTest.cpp
+++ b/packages/protocol/tests/MessagesTest.cpp
@@ -11,13 +11,13 @@
   membership::Heartbeat out;
   out.m_instance = *rc::gen::arbitrary<std::string>();
   out.m_incarnation = *rc::gen::inRange<std::uint64_t>(0, 1ULL << 62U);
-  out.m_hall = *rc::gen::arbitrary<std::string>();
+  out.m_dataCentre = *rc::gen::arbitrary<std::string>();
   out.m_peerAddress = *rc::gen::arbitrary<std::string>();
   out.m_ready = *rc::gen::arbitrary<bool>();
   out.m_leaving = *rc::gen::arbitrary<bool>();
   out.m_revision = *rc::gen::inRange<std::uint64_t>(0, 1ULL << 62U);
   for (auto& id : *rc::gen::arbitrary<std::vector<std::string>>()) {
-    UpstreamLife upstream{ std::move(id) };
+    UpstreamIncarnation upstream{ std::move(id) };
     if (*rc::gen::arbitrary<bool>()) {
       upstream.m_born = *rc::gen::inRange<std::int64_t>(0, 1LL << 62U);
     }
@@ -44,7 +44,7 @@
   if (*rc::gen::arbitrary<bool>()) {
     out.m_quarantineFingerprint = *rc::gen::arbitrary<std::uint64_t>();
   }
-  out.m_tellsHall = *rc::gen::arbitrary<bool>();
+  out.m_tellsDataCentre = *rc::gen::arbitrary<bool>();
   out.m_disaggregatedServices =
     *rc::gen::arbitrary<std::vector<std::uint32_t>>();
   if (*rc::gen::arbitrary<bool>()) {
--- a/packages/quarantine/include/ridgeferry/quarantine/BrokenRuns.h
+++ b/packages/quarantine/include/ridgeferry/quarantine/BrokenRuns.h
@@ -3,7 +3,7 @@
 #include <cstddef>
 #include <map>
 #include <ridgeferry/base/Time.h>
-#include <ridgeferry/base/UpstreamLife.h>
+#include <ridgeferry/base/UpstreamIncarnation.h>
 #include <ridgeferry/quarantine/CallDigest.h>
 #include <set>
 #include <string>
@@ -37,14 +37,14 @@
   static constexpr std::size_t kMaxRuns = 4096;
 
   void NoteBroken(const CallDigest& aCall,
-                  const UpstreamLife& aUpstream,
+                  const UpstreamIncarnation& aUpstream,
                   Instant aNow);
   /**
    * Records that this incarnation of the upstream crashed. Returns each call
    * that broke on it once, with the time of its first break, and stops tracking
    * these runs.
    */
-  std::map<CallDigest, Instant> NoteEnded(const UpstreamLife& aUpstream);
+  std::map<CallDigest, Instant> NoteEnded(const UpstreamIncarnation& aUpstream);
   /**
    * Records that the call completed successfully elsewhere, so that no crash
    * counts against it for the runs tracked so far.
@@ -63,7 +63,7 @@
    * Returns the incarnations of the upstream of which it is not known yet
    * whether they crashed.
    */
-  std::vector<UpstreamLife> UnresolvedIncarnations(
+  std::vector<UpstreamIncarnation> UnresolvedIncarnations(
     std::string_view aUpstream) const;
   /**
    * Returns the ids of upstreams of which it is not known yet whether they
@@ -82,7 +82,7 @@
   struct Run
   {
     CallDigest m_call;
-    UpstreamLife m_upstream;
+    UpstreamIncarnation m_upstream;
     Instant m_at;
   };
 
--- a/packages/quarantine/include/ridgeferry/quarantine/Quarantine.h
+++ b/packages/quarantine/include/ridgeferry/quarantine/Quarantine.h
@@ -4,7 +4,7 @@
 #include <cstdint>
 #include <map>
 #include <ridgeferry/base/Time.h>
-#include <ridgeferry/base/UpstreamLife.h>
+#include <ridgeferry/base/UpstreamIncarnation.h>
 #include <ridgeferry/quarantine/CallDigest.h>
 #include <span>
 #include <vector>
@@ -38,7 +38,7 @@
  * instances. Thread-safe.
  */
 std::uint64_t
-IncarnationHash(const UpstreamLife& aUpstream);
+IncarnationHash(const UpstreamIncarnation& aUpstream);
 
 /** How a crash record has changed the state of its call. */
 enum class Change : std::uint8_t
@@ -181,14 +181,14 @@
   std::uint64_t Fingerprint() const;
 
 private:
-  struct Life
+  struct Incarnation
   {
     bool m_cleared = false;
     Instant m_crashedAt;
   };
   struct Call
   {
-    std::map<std::uint64_t, Life>
+    std::map<std::uint64_t, Incarnation>
       m_incarnations; ///< Incarnations by `IncarnationHash`.
     /**
      * Times of the first and the last crash that counted against the call, also
@@ -213,8 +213,12 @@
     return aCall.m_lastCrash - aCall.m_firstCrash < kCommonCauseWindow;
   }
   static void NoteCrashTime(Call& aCall, Instant aEndedAt);
-  static Change AddCrash(Call& aCall, std::uint64_t aLife, Instant aEndedAt);
-  static Change Clear(Call& aCall, std::uint64_t aLife, Instant aEndedAt);
+  static Change AddCrash(Call& aCall,
+                         std::uint64_t aIncarnation,
+                         Instant aEndedAt);
+  static Change Clear(Call& aCall,
+                      std::uint64_t aIncarnation,
+                      Instant aEndedAt);
   /**
    * Removes the oldest incarnation whose crash was cleared. Returns false if
    * there is none.
--- a/packages/quarantine/src/BrokenRuns.cpp
+++ b/packages/quarantine/src/BrokenRuns.cpp
@@ -7,17 +7,18 @@
 namespace {
 
 bool
-IsSameLife(const UpstreamLife& aLeft, const UpstreamLife& aRight)
+IsSameIncarnation(const UpstreamIncarnation& aLeft,
+                  const UpstreamIncarnation& aRight)
 {
   return aLeft.m_id == aRight.m_id &&
-         Compare(aLeft.m_born, aRight.m_born) == LifeOrder::Same;
+         Compare(aLeft.m_born, aRight.m_born) == IncarnationOrder::Same;
 }
 
 } // namespace
 
 void
 BrokenRuns::NoteBroken(const CallDigest& aCall,
-                       const UpstreamLife& aUpstream,
+                       const UpstreamIncarnation& aUpstream,
                        Instant aNow)
 {
   if (m_runs.size() < kMaxRuns) {
@@ -26,11 +27,11 @@
 }
 
 std::map<CallDigest, Instant>
-BrokenRuns::NoteEnded(const UpstreamLife& aUpstream)
+BrokenRuns::NoteEnded(const UpstreamIncarnation& aUpstream)
 {
   std::map<CallDigest, Instant> calls;
   std::erase_if(m_runs, [&](const Run& aRun) {
-    const bool same = IsSameLife(aRun.m_upstream, aUpstream);
+    const bool same = IsSameIncarnation(aRun.m_upstream, aUpstream);
     if (same) {
       calls.emplace(aRun.m_call, aRun.m_at);
     }
@@ -65,14 +66,14 @@
   return upstreams.size();
 }
 
-std::vector<UpstreamLife>
+std::vector<UpstreamIncarnation>
 BrokenRuns::UnresolvedIncarnations(std::string_view aUpstream) const
 {
-  std::vector<UpstreamLife> out;
+  std::vector<UpstreamIncarnation> out;
   for (const Run& run : m_runs) {
-    const bool listed =
-      std::any_of(out.begin(), out.end(), [&run](const UpstreamLife& aLife) {
-        return aLife == run.m_upstream;
+    const bool listed = std::any_of(
+      out.begin(), out.end(), [&run](const UpstreamIncarnation& aIncarnation) {
+        return aIncarnation == run.m_upstream;
       });
     if (run.m_upstream.m_id == aUpstream && !listed) {
       out.push_back(run.m_upstream);
--- a/packages/quarantine/src/Quarantine.cpp
+++ b/packages/quarantine/src/Quarantine.cpp
@@ -8,7 +8,7 @@
 namespace ridgeferry::quarantine {
 
 std::uint64_t
-IncarnationHash(const UpstreamLife& aUpstream)
+IncarnationHash(const UpstreamIncarnation& aUpstream)
 {
   const std::string born =
     aUpstream.m_born ? std::to_string(*aUpstream.m_born) : "";
@@ -18,10 +18,10 @@
 std::size_t
 Quarantine::EndsOf(const Call& aCall)
 {
-  return static_cast<std::size_t>(
-    std::count_if(aCall.m_incarnations.begin(),
-                  aCall.m_incarnations.end(),
-                  [](const auto& aLife) { return !aLife.second.m_cleared; }));
+  return static_cast<std::size_t>(std::count_if(
+    aCall.m_incarnations.begin(),
+    aCall.m_incarnations.end(),
+    [](const auto& aIncarnation) { return !aIncarnation.second.m_cleared; }));
 }
 
 void
@@ -79,9 +79,9 @@
 }
 
 Change
-Quarantine::AddCrash(Call& aCall, std::uint64_t aLife, Instant aEndedAt)
+Quarantine::AddCrash(Call& aCall, std::uint64_t aIncarnation, Instant aEndedAt)
 {
-  if (aCall.m_incarnations.contains(aLife)) {
+  if (aCall.m_incarnations.contains(aIncarnation)) {
     return Change::None; // The crash is known, and possibly cleared.
   }
   const bool held = IsQuarantined(aCall);
@@ -90,17 +90,17 @@
       !ForgetCleared(aCall)) {
     return Change::None;
   }
-  aCall.m_incarnations.emplace(aLife, Life{ false, aEndedAt });
+  aCall.m_incarnations.emplace(aIncarnation, Incarnation{ false, aEndedAt });
   return IsQuarantined(aCall) && !held ? Change::Held : Change::Suspected;
 }
 
 Change
-Quarantine::Clear(Call& aCall, std::uint64_t aLife, Instant aEndedAt)
+Quarantine::Clear(Call& aCall, std::uint64_t aIncarnation, Instant aEndedAt)
 {
-  const auto known = aCall.m_incarnations.find(aLife);
+  const auto known = aCall.m_incarnations.find(aIncarnation);
   if (known == aCall.m_incarnations.end()) {
     if (aCall.m_incarnations.size() < kMaxIncarnations) {
-      aCall.m_incarnations.emplace(aLife, Life{ true, aEndedAt });
+      aCall.m_incarnations.emplace(aIncarnation, Incarnation{ true, aEndedAt });
     }
     return Change::None;
   }
@@ -118,9 +118,9 @@
   if (found == m_calls.end()) {
     return out;
   }
-  for (auto& [hash, life] : found->second.m_incarnations) {
-    if (!life.m_cleared) {
-      life.m_cleared = true;
+  for (auto& [hash, incarnation] : found->second.m_incarnations) {
+    if (!incarnation.m_cleared) {
+      incarnation.m_cleared = true;
       out.push_back({ aCall, hash, true });
     }
   }
@@ -246,9 +246,9 @@
     if (out.size() + call.m_incarnations.size() > aMost) {
       break;
     }
-    for (const auto& [hash, life] : call.m_incarnations) {
-      out.push_back(
-        { { digest, hash, life.m_cleared }, aNow - life.m_crashedAt });
+    for (const auto& [hash, incarnation] : call.m_incarnations) {
+      out.push_back({ { digest, hash, incarnation.m_cleared },
+                      aNow - incarnation.m_crashedAt });
     }
   }
   return out;
--- a/packages/quarantine/tests/BrokenRunsTest.cpp
+++ b/packages/quarantine/tests/BrokenRunsTest.cpp
@@ -7,9 +7,9 @@
 
 constexpr CallDigest kCall{ 1, 1 };
 constexpr CallDigest kOther{ 2, 2 };
-const UpstreamLife kLife{ "i-1", 100 };
-const UpstreamLife kLater{ "i-1", 200 };
-const UpstreamLife kElsewhere{ "i-2", 100 };
+const UpstreamIncarnation kIncarnation{ "i-1", 100 };
+const UpstreamIncarnation kLater{ "i-1", 200 };
+const UpstreamIncarnation kElsewhere{ "i-2", 100 };
 
 Instant
 At(int aMs)
@@ -20,7 +20,7 @@
 struct EndCase
 {
   std::function<void(BrokenRuns&)> m_before;
-  UpstreamLife m_ended;
+  UpstreamIncarnation m_ended;
   std::vector<CallDigest> m_accused;
   const char* m_name;
 };
@@ -45,57 +45,59 @@
   BrokenRunsTest,
   ::testing::Values(
     EndCase{ [](BrokenRuns& aRuns) {
-              aRuns.NoteBroken(kCall, kLife, At(0));
-              aRuns.NoteBroken(kOther, kLife, At(0));
-              aRuns.NoteBroken(kCall, kLife, At(1));
+              aRuns.NoteBroken(kCall, kIncarnation, At(0));
+              aRuns.NoteBroken(kOther, kIncarnation, At(0));
+              aRuns.NoteBroken(kCall, kIncarnation, At(1));
             },
-             kLife,
+             kIncarnation,
              { kCall, kOther },
              "EachCallOnce" },
-    EndCase{ [](BrokenRuns& aRuns) { aRuns.NoteBroken(kCall, kLife, At(0)); },
-             kElsewhere,
-             {},
-             "NotThatOfAnotherUpstream" },
-    EndCase{ [](BrokenRuns& aRuns) { aRuns.NoteBroken(kCall, kLife, At(0)); },
-             kLater,
-             {},
-             "NotThatOfALaterLife" },
+    EndCase{
+      [](BrokenRuns& aRuns) { aRuns.NoteBroken(kCall, kIncarnation, At(0)); },
+      kElsewhere,
+      {},
+      "NotThatOfAnotherUpstream" },
+    EndCase{
+      [](BrokenRuns& aRuns) { aRuns.NoteBroken(kCall, kIncarnation, At(0)); },
+      kLater,
+      {},
+      "NotThatOfALaterLife" },
     // The connection broke, but the upstream has answered since.
     EndCase{ [](BrokenRuns& aRuns) {
-              aRuns.NoteBroken(kCall, kLife, At(5));
-              aRuns.NoteAlive(kLife.m_id, At(5));
+              aRuns.NoteBroken(kCall, kIncarnation, At(5));
+              aRuns.NoteAlive(kIncarnation.m_id, At(5));
             },
-             kLife,
+             kIncarnation,
              {},
              "NotOfOneThatLives" },
     // The answer belongs to a request that was sent before the break, so the
     // upstream may have crashed after it sent the answer.
     EndCase{ [](BrokenRuns& aRuns) {
-              aRuns.NoteBroken(kCall, kLife, At(5));
-              aRuns.NoteAlive(kLife.m_id, At(4));
+              aRuns.NoteBroken(kCall, kIncarnation, At(5));
+              aRuns.NoteAlive(kIncarnation.m_id, At(4));
             },
-             kLife,
+             kIncarnation,
              { kCall },
              "AnEarlierSendProvesNothing" },
     EndCase{ [](BrokenRuns& aRuns) {
-              aRuns.NoteBroken(kCall, kLife, At(0));
+              aRuns.NoteBroken(kCall, kIncarnation, At(0));
               aRuns.Tick(At(0) + BrokenRuns::kUnresolvedFor);
             },
-             kLife,
+             kIncarnation,
              {},
              "NotWhatBrokeLongAgo" },
     EndCase{ [](BrokenRuns& aRuns) {
-              aRuns.NoteBroken(kCall, kLife, At(0));
+              aRuns.NoteBroken(kCall, kIncarnation, At(0));
               aRuns.NoteServed(kCall);
             },
-             kLife,
+             kIncarnation,
              {},
              "NotOfACallThatRanWell" },
     EndCase{ [](BrokenRuns& aRuns) {
-              aRuns.NoteBroken(kCall, kLife, At(0));
+              aRuns.NoteBroken(kCall, kIncarnation, At(0));
               aRuns.ForgetAll();
             },
-             kLife,
+             kIncarnation,
              {},
              "NotWhatBrokeWhileThisStoodStill" }),
   [](const auto& aInfo) { return std::string(aInfo.param.m_name); });
@@ -103,23 +105,23 @@
 TEST(BrokenRunsCountTest, ACallIsCountedOnceForEachUpstream)
 {
   BrokenRuns runs;
-  runs.NoteBroken(kCall, kLife, At(0));
-  runs.NoteBroken(kCall, kLife, At(0));
+  runs.NoteBroken(kCall, kIncarnation, At(0));
+  runs.NoteBroken(kCall, kIncarnation, At(0));
   runs.NoteBroken(kCall, kElsewhere, At(0));
   EXPECT_EQ(runs.Unresolved(kCall), 2U);
   EXPECT_EQ(runs.Unresolved(kOther), 0U);
   EXPECT_EQ(runs.Upstreams(), (std::set<std::string>{ "i-1", "i-2" }));
   EXPECT_EQ(runs.UnresolvedIncarnations("i-1"),
-            std::vector<UpstreamLife>{ kLife });
+            std::vector<UpstreamIncarnation>{ kIncarnation });
 }
 
 TEST(BrokenRunsCountTest, MemoryIsBounded)
 {
   BrokenRuns runs;
   for (std::uint64_t i = 0; i < 2 * BrokenRuns::kMaxRuns; ++i) {
-    runs.NoteBroken({ i, i }, kLife, At(0));
+    runs.NoteBroken({ i, i }, kIncarnation, At(0));
   }
-  EXPECT_EQ(runs.NoteEnded(kLife).size(), BrokenRuns::kMaxRuns);
+  EXPECT_EQ(runs.NoteEnded(kIncarnation).size(), BrokenRuns::kMaxRuns);
 }
 
 } // namespace
--- a/packages/quarantine/tests/QuarantineTest.cpp
+++ b/packages/quarantine/tests/QuarantineTest.cpp
@@ -25,8 +25,9 @@
 void
 EndThree(Quarantine& aQuarantine, Duration aLast)
 {
-  for (std::uint64_t life = 1; life <= 3; ++life) {
-    aQuarantine.Note({ kCall, life }, At(aLast), kApart * (3 - life));
+  for (std::uint64_t incarnation = 1; incarnation <= 3; ++incarnation) {
+    aQuarantine.Note(
+      { kCall, incarnation }, At(aLast), kApart * (3 - incarnation));
   }
 }
 
@@ -47,8 +48,8 @@
 TEST(QuarantineTest, CrashesAtOnceLeaveTheQuarantineDoubtedUntilOneMore)
 {
   Quarantine quarantine;
-  for (std::uint64_t life = 1; life <= 3; ++life) {
-    quarantine.Note({ kCall, life }, At(kMs));
+  for (std::uint64_t incarnation = 1; incarnation <= 3; ++incarnation) {
+    quarantine.Note({ kCall, incarnation }, At(kMs));
   }
   const Instant later = At(kMs + Quarantine::kDoubtedAfter);
   EXPECT_FALSE(quarantine.IsDoubted(kCall, later - kMs));
@@ -63,8 +64,10 @@
 TEST(QuarantineTest, ACrashBeyondTheRecordedOnesEndsTheDoubt)
 {
   Quarantine quarantine;
-  for (std::uint64_t life = 1; life <= Quarantine::kMaxIncarnations; ++life) {
-    quarantine.Note({ kCall, life }, At(kMs));
+  for (std::uint64_t incarnation = 1;
+       incarnation <= Quarantine::kMaxIncarnations;
+       ++incarnation) {
+    quarantine.Note({ kCall, incarnation }, At(kMs));
   }
   const Instant later = At(kMs + Quarantine::kDoubtedAfter);
   quarantine.Note({ kCall, Quarantine::kMaxIncarnations + 1 }, later);
@@ -83,9 +86,9 @@
 {
   Quarantine here;
   Quarantine there;
-  for (std::uint64_t life = 1; life <= 3; ++life) {
-    here.Note({ kCall, life }, At(kMs));
-    there.Note({ kCall, life }, At(kMs));
+  for (std::uint64_t incarnation = 1; incarnation <= 3; ++incarnation) {
+    here.Note({ kCall, incarnation }, At(kMs));
+    there.Note({ kCall, incarnation }, At(kMs));
   }
   for (const CrashRecord& cleared : here.NoteServed(kCall)) {
     there.Note(cleared, At(2 * kMs));
@@ -99,12 +102,14 @@
 TEST(QuarantineTest, ClearedCrashesHideNoLaterOnes)
 {
   Quarantine quarantine;
-  for (std::uint64_t life = 1; life <= Quarantine::kMaxIncarnations; ++life) {
-    quarantine.Note({ kCall, life }, At(kMs));
+  for (std::uint64_t incarnation = 1;
+       incarnation <= Quarantine::kMaxIncarnations;
+       ++incarnation) {
+    quarantine.Note({ kCall, incarnation }, At(kMs));
     quarantine.NoteServed(kCall);
   }
-  for (std::uint64_t life = 101; life <= 103; ++life) {
-    quarantine.Note({ kCall, life }, At(kApart * life));
+  for (std::uint64_t incarnation = 101; incarnation <= 103; ++incarnation) {
+    quarantine.Note({ kCall, incarnation }, At(kApart * incarnation));
   }
   EXPECT_TRUE(quarantine.IsQuarantined(kCall));
 }
@@ -128,10 +133,10 @@
 {
   Quarantine quarantine;
   const Duration age = std::chrono::hours(23);
-  for (std::uint64_t life = 1; life <= 3; ++life) {
-    quarantine.Note({ kCall, life },
+  for (std::uint64_t incarnation = 1; incarnation <= 3; ++incarnation) {
+    quarantine.Note({ kCall, incarnation },
                     At(Quarantine::kQuarantineTime),
-                    age + kApart * (3 - life));
+                    age + kApart * (3 - incarnation));
   }
   EXPECT_EQ(
     quarantine.QuarantineTimeLeft(kCall, At(Quarantine::kQuarantineTime)),
@@ -157,8 +162,8 @@
 {
   Quarantine quarantine;
   for (std::uint64_t i = 0; i < 2 * Quarantine::kMaxQuarantined; ++i) {
-    for (std::uint64_t life = 1; life <= 3; ++life) {
-      quarantine.Note({ { i, i }, life }, At(kMs * i));
+    for (std::uint64_t incarnation = 1; incarnation <= 3; ++incarnation) {
+      quarantine.Note({ { i, i }, incarnation }, At(kMs * i));
     }
   }
   const std::uint64_t last = 2 * Quarantine::kMaxQuarantined - 1;
@@ -170,14 +175,14 @@
 std::vector<CrashRecord>
 DrawRecords()
 {
-  return *rc::gen::container<std::vector<CrashRecord>>(
-    rc::gen::map(rc::gen::tuple(rc::gen::inRange<std::uint64_t>(0, 3),
-                                rc::gen::inRange<std::uint64_t>(0, 5),
-                                rc::gen::inRange(0, 4)),
-                 [](const auto& aDrawn) {
-                   const auto& [call, life, cleared] = aDrawn;
-                   return CrashRecord{ { call, call }, life, cleared == 0 };
-                 }));
+  return *rc::gen::container<std::vector<CrashRecord>>(rc::gen::map(
+    rc::gen::tuple(rc::gen::inRange<std::uint64_t>(0, 3),
+                   rc::gen::inRange<std::uint64_t>(0, 5),
+                   rc::gen::inRange(0, 4)),
+    [](const auto& aDrawn) {
+      const auto& [call, incarnation, cleared] = aDrawn;
+      return CrashRecord{ { call, call }, incarnation, cleared == 0 };
+    }));
 }
 
 RC_GTEST_PROP(QuarantineMergeTest,
@@ -239,8 +244,8 @@
   for (std::uint64_t i = 10; i < 20; ++i) {
     quarantine.Note({ { i, i }, 1 }, At(9 * kMs));
   }
-  for (std::uint64_t life = 1; life <= 2; ++life) {
-    quarantine.Note({ kCall, life }, At(kMs));
+  for (std::uint64_t incarnation = 1; incarnation <= 2; ++incarnation) {
+    quarantine.Note({ kCall, incarnation }, At(kMs));
   }
   const std::vector<ReportedCrash> told = quarantine.Snapshot(At(9 * kMs), 4);
   ASSERT_EQ(told.size(), 4U);
--- a/packages/quarantine/tests/QuarantineWorldTest.cpp
+++ b/packages/quarantine/tests/QuarantineWorldTest.cpp
@@ -112,7 +112,7 @@
   {
     Quarantine m_quarantine;
     BrokenRuns m_broken;
-    int m_life = 0;
+    int m_incarnation = 0;
     std::optional<Instant> m_restartedAt;
   };
   struct Upstream
@@ -159,9 +159,10 @@
       ++m_lateRuns;
     }
     const std::size_t upstream = up[Draw(up.size())];
-    After(m_load.m_runsFor, [this, at, upstream, life = instance.m_life] {
-      End(at, upstream, life);
-    });
+    After(m_load.m_runsFor,
+          [this, at, upstream, incarnation = instance.m_incarnation] {
+            End(at, upstream, incarnation);
+          });
   }
 
   /**
@@ -188,11 +189,11 @@
            m_now - *aInstance.m_restartedAt > kLateAfter;
   }
 
-  void End(std::size_t aInstance, std::size_t aUpstream, int aLife)
+  void End(std::size_t aInstance, std::size_t aUpstream, int aIncarnation)
   {
     Upstream& upstream = m_upstreams[aUpstream];
-    const UpstreamLife ended{ "i-" + std::to_string(aUpstream),
-                              upstream.m_born };
+    const UpstreamIncarnation ended{ "i-" + std::to_string(aUpstream),
+                                     upstream.m_born };
     if (upstream.m_backAt.value_or(m_now) <= m_now) {
       upstream.m_backAt = m_now + kUpstreamsBackAfter;
       ++upstream.m_born;
@@ -200,7 +201,7 @@
         m_thirdEnd = m_now;
       }
     }
-    if (m_instances[aInstance].m_life != aLife) {
+    if (m_instances[aInstance].m_incarnation != aIncarnation) {
       // The instance that could have reported the crash has restarted since.
       return;
     }
@@ -208,7 +209,7 @@
     After(kDetect, [this, aInstance, ended] { Detect(aInstance, ended); });
   }
 
-  void Detect(std::size_t aInstance, const UpstreamLife& aEnded)
+  void Detect(std::size_t aInstance, const UpstreamIncarnation& aEnded)
   {
     Instance& instance = m_instances[aInstance];
     for (const auto& [call, brokeAt] : instance.m_broken.NoteEnded(aEnded)) {
@@ -258,7 +259,7 @@
   {
     const std::size_t at = Draw(m_instances.size());
     Instance fresh;
-    fresh.m_life = m_instances[at].m_life + 1;
+    fresh.m_incarnation = m_instances[at].m_incarnation + 1;
     fresh.m_restartedAt = m_now;
     const Instance& asked = m_instances[(at + 1) % m_instances.size()];
     for (const ReportedCrash& told :
--- a/packages/relay/include/ridgeferry/relay/DecodePoolPlanner.h
+++ b/packages/relay/include/ridgeferry/relay/DecodePoolPlanner.h
@@ -14,7 +14,7 @@
 struct PlannedEngine
 {
   std::string m_id;
-  std::string m_hall;
+  std::string m_dataCentre;
   /** The current role, or the target role while the engine changes. */
   UpstreamRole m_role = UpstreamRole::Decode;
   std::int64_t m_running = 0; ///< Calls in flight there from all instances.
--- a/packages/relay/include/ridgeferry/relay/ExpiryGrace.h
+++ b/packages/relay/include/ridgeferry/relay/ExpiryGrace.h
@@ -92,15 +92,16 @@
   std::optional<Duration> ReadsFor(Instant aNow) const;
   /**
    * Limits the grace period of a row by what is known of the data centre of its
-   * upstream. `aHallReadsSince` is the time since when some instance there has
-   * read the store without a failure. The upstreams there have been able to
-   * reach the store since then, so a row that had expired before is back
-   * `kGracePeriod` after that time at the latest, and a row that is still
+   * upstream. `aDataCentreReadsSince` is the time since when some instance
+   * there has read the store without a failure. The upstreams there have been
+   * able to reach the store since then, so a row that had expired before is
+   * back `kGracePeriod` after that time at the latest, and a row that is still
    * missing then is gone. Returns std::nullopt if there is no grace period.
    */
-  static std::optional<Instant> Bounded(std::optional<Instant> aUntil,
-                                        std::optional<Instant> aHallReadsSince,
-                                        Instant aNow);
+  static std::optional<Instant> Bounded(
+    std::optional<Instant> aUntil,
+    std::optional<Instant> aDataCentreReadsSince,
+    Instant aNow);
 
 private:
   friend class FollowerState; // Used by the tests that enumerate states.
--- a/packages/relay/include/ridgeferry/relay/Fleet.h
+++ b/packages/relay/include/ridgeferry/relay/Fleet.h
@@ -114,7 +114,7 @@
    * row of an earlier incarnation does not bring one back. The limit covers
    * some days of replacements and takes about 100 KB.
    */
-  static constexpr std::size_t kMostPastLives = 1000;
+  static constexpr std::size_t kMostPastIncarnations = 1000;
   /**
    * Upper bound of the ejection time, which doubles each time that a probe of
    * the member fails. The doubling keeps members behind a network partition
@@ -137,7 +137,7 @@
    * ignored, even after the member was removed. Returns how the row's
    * incarnation relates to the known one.
    */
-  LifeOrder Put(const Member& aMember);
+  IncarnationOrder Put(const Member& aMember);
   /**
    * Removes a member that is no longer listed. If `aLapsesUntil` is set, the
    * list was unreachable recently and the member's row may only have expired;
@@ -145,15 +145,15 @@
    */
   void Drop(std::string_view aId, std::optional<Instant> aLapsesUntil);
   /**
-   * Ends the grace periods of all vanished members of data centre `aHall` at
-   * `aUntil` at the latest.
+   * Ends the grace periods of all vanished members of data centre `aDataCentre`
+   * at `aUntil` at the latest.
    */
-  void BoundGracePeriods(std::string_view aHall, Instant aUntil);
+  void BoundGracePeriods(std::string_view aDataCentre, Instant aUntil);
   /**
    * Marks a member as leaving, as another instance announced, so that it gets
    * no new calls. Has no effect on another incarnation of the member.
    */
-  void MarkLeaving(const UpstreamLife& aUpstream);
+  void MarkLeaving(const UpstreamIncarnation& aUpstream);
   /** Removes the members whose grace period has ended and returns their ids. */
   std::vector<std::string> Tick(Instant aNow);
 
@@ -550,7 +550,7 @@
   struct TransferSources
   {
     TransferSource m_most;
-    std::map<std::string_view, TransferSource> m_byHall;
+    std::map<std::string_view, TransferSource> m_byDataCentre;
   };
   TransferSources FindTransferSources(const PlaceRequest& aRequest,
                                       Instant aNow) const;
@@ -613,8 +613,8 @@
    */
   static bool IsLong(const Prompt& aPrompt);
 
-  LifeOrder NoteLife(const Member& aMember);
-  void ForgetLife(const std::string& aId);
+  IncarnationOrder NoteIncarnation(const Member& aMember);
+  void ForgetIncarnation(const std::string& aId);
   void Update(const Member& aMember);
   void AddPeerLoads(std::span<const PeerLoad> aLoads, std::int64_t aSign);
   void ApplyRoleUpdate(State& aState);
--- a/packages/relay/include/ridgeferry/relay/LeavingUpstreams.h
+++ b/packages/relay/include/ridgeferry/relay/LeavingUpstreams.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <map>
-#include <ridgeferry/base/UpstreamLife.h>
+#include <ridgeferry/base/UpstreamIncarnation.h>
 #include <string>
 #include <string_view>
 
@@ -25,13 +25,14 @@
    * Records that the list shows the upstream as leaving. Returns whether that
    * is new.
    */
-  bool NoteListed(const UpstreamLife& aUpstream);
+  bool NoteListed(const UpstreamIncarnation& aUpstream);
   /**
    * Records that another instance announces the upstream as leaving. `aListed`
    * is the incarnation that this instance's list has under that id, null if it
    * has none. Returns whether the caller must act on the announcement.
    */
-  bool NoteFromPeer(const UpstreamLife& aUpstream, const UpstreamLife* aListed);
+  bool NoteFromPeer(const UpstreamIncarnation& aUpstream,
+                    const UpstreamIncarnation* aListed);
   /**
    * Records that the upstream, or this incarnation of it, is no longer listed.
    * It is no longer announced.
@@ -39,13 +40,14 @@
   void NoteGone(std::string_view aUpstream);
 
   /** Returns the upstreams to announce, by id. */
-  const std::map<std::string, UpstreamLife, std::less<>>& Announced() const
+  const std::map<std::string, UpstreamIncarnation, std::less<>>& Announced()
+    const
   {
     return m_announced;
   }
 
 private:
-  std::map<std::string, UpstreamLife, std::less<>> m_announced;
+  std::map<std::string, UpstreamIncarnation, std::less<>> m_announced;
 };
 
 } // namespace ridgeferry::relay
--- a/packages/relay/include/ridgeferry/relay/Member.h
+++ b/packages/relay/include/ridgeferry/relay/Member.h
@@ -2,7 +2,7 @@
 
 #include <cstdint>
 #include <optional>
-#include <ridgeferry/base/UpstreamLife.h>
+#include <ridgeferry/base/UpstreamIncarnation.h>
 #include <string>
 #include <string_view>
 
@@ -26,14 +26,14 @@
 {
   std::string m_id;
   std::string m_service;
-  std::string m_hall;
+  std::string m_dataCentre;
   std::string m_address; ///< IP:PORT.
   std::int64_t m_slots = 1;
   UpstreamRole m_role = UpstreamRole::Plain;
   bool m_leaving = false;
-  /** See `UpstreamLife::m_born`. */
+  /** See `UpstreamIncarnation::m_born`. */
   std::optional<std::int64_t> m_born = {};
-  UpstreamLife Life() const { return { m_id, m_born }; }
+  UpstreamIncarnation Incarnation() const { return { m_id, m_born }; }
   bool operator==(const Member&) const = default;
 };
 
--- a/packages/relay/include/ridgeferry/relay/Placement.h
+++ b/packages/relay/include/ridgeferry/relay/Placement.h
@@ -16,7 +16,7 @@
 struct PlaceRequest
 {
   std::string_view m_service;
-  std::string_view m_hall;        ///< Data centre of this instance.
+  std::string_view m_dataCentre;  ///< Data centre of this instance.
   std::optional<Prompt> m_prompt; ///< Empty for a call to a plain service.
   std::span<const std::string> m_excluded;
   /** Maximum number of connections from this instance to one upstream. */
--- a/packages/relay/include/ridgeferry/relay/RemovedUpstreams.h
+++ b/packages/relay/include/ridgeferry/relay/RemovedUpstreams.h
@@ -2,7 +2,7 @@
 
 #include <map>
 #include <ridgeferry/base/Time.h>
-#include <ridgeferry/base/UpstreamLife.h>
+#include <ridgeferry/base/UpstreamIncarnation.h>
 #include <ridgeferry/relay/Member.h>
 #include <string>
 #include <string_view>
@@ -36,7 +36,7 @@
   static constexpr Duration kRemember{ 60'000 };
 
   /** Records that the upstream's row was removed. */
-  void NoteGone(const UpstreamLife& aUpstream, Instant aNow);
+  void NoteGone(const UpstreamIncarnation& aUpstream, Instant aNow);
   /**
    * Records that the store reported a change of the row, whatever the change
    * is. The upstream is then no longer held back.
@@ -58,7 +58,7 @@
 private:
   struct Gone
   {
-    UpstreamLife m_life;
+    UpstreamIncarnation m_incarnation;
     Instant m_at;
   };
   struct Hold
--- a/packages/relay/include/ridgeferry/relay/RoleChangeController.h
+++ b/packages/relay/include/ridgeferry/relay/RoleChangeController.h
@@ -4,7 +4,7 @@
 #include <map>
 #include <optional>
 #include <ridgeferry/base/Time.h>
-#include <ridgeferry/base/UpstreamLife.h>
+#include <ridgeferry/base/UpstreamIncarnation.h>
 #include <ridgeferry/relay/DecodePoolPlanner.h>
 #include <string>
 #include <variant>
@@ -22,7 +22,7 @@
   bool m_changing = false; ///< The engine is carrying out an order.
   /** Number of orders accepted since the engine started. */
   std::int64_t m_ordersTaken = 0;
-  /** See `UpstreamLife::m_born`. */
+  /** See `UpstreamIncarnation::m_born`. */
   std::optional<std::int64_t> m_born = {};
 };
 
--- a/packages/relay/src/DecodePoolPlanner.cpp
+++ b/packages/relay/src/DecodePoolPlanner.cpp
@@ -12,11 +12,11 @@
  * Number of decode engines that each data centre keeps when others become
  * prefill engines, so that one may be lost. A lost engine is back in its first
  * role sooner than another could take its place, so only the last decode engine
- * of a data centre is replaced. Data centres with fewer than `kSmallHall`
+ * of a data centre is replaced. Data centres with fewer than `kSmallDataCentre`
  * engines keep one.
  */
 constexpr std::size_t kMinDecodeEngines = 2;
-constexpr std::size_t kSmallHall = 6;
+constexpr std::size_t kSmallDataCentre = 6;
 /**
  * Decode engines become prefill engines only if there are more than the need
  * times this factor. A change takes an engine out of service for seconds, so a
@@ -24,7 +24,7 @@
  */
 constexpr double kShrinkMargin = 1.2;
 
-struct HallEngines
+struct DataCentreEngines
 {
   std::vector<const PlannedEngine*> m_reading;
   std::vector<const PlannedEngine*> m_generating;
@@ -33,20 +33,21 @@
 };
 
 std::size_t
-LeastKept(std::size_t aHall)
+LeastKept(std::size_t aDataCentre)
 {
-  return aHall < kSmallHall ? 1 : kMinDecodeEngines;
+  return aDataCentre < kSmallDataCentre ? 1 : kMinDecodeEngines;
 }
 
 /**
- * Returns the number of decode engines that a data centre with `aHall` engines
- * should have for a need of `aNeeded`: at least `aLeast`, and at most so many
- * that one engine of several prefills.
+ * Returns the number of decode engines that a data centre with `aDataCentre`
+ * engines should have for a need of `aNeeded`: at least `aLeast`, and at most
+ * so many that one engine of several prefills.
  */
 std::size_t
-AtLeast(std::size_t aHall, double aNeeded, std::size_t aLeast)
+AtLeast(std::size_t aDataCentre, double aNeeded, std::size_t aLeast)
 {
-  const std::size_t most = std::max(aLeast, aHall > 1 ? aHall - 1 : 1);
+  const std::size_t most =
+    std::max(aLeast, aDataCentre > 1 ? aDataCentre - 1 : 1);
   return std::clamp(static_cast<std::size_t>(std::ceil(aNeeded)), aLeast, most);
 }
 
@@ -75,14 +76,14 @@
                         double aNeeded,
                         Instant aNow)
 {
-  std::map<std::string, HallEngines> halls;
+  std::map<std::string, DataCentreEngines> dataCentres;
   for (const PlannedEngine& engine : aEngines) {
-    HallEngines& hall = halls[engine.m_hall];
+    DataCentreEngines& hall = dataCentres[engine.m_dataCentre];
     const bool reads = engine.m_role == UpstreamRole::Prefill;
     (reads ? hall.m_reading : hall.m_generating).push_back(&engine);
   }
   std::vector<EngineRoleChange> out;
-  for (const auto& [name, hall] : halls) {
+  for (const auto& [name, hall] : dataCentres) {
     const std::size_t now = hall.m_generating.size();
     const double share =
       static_cast<double>(hall.Size()) / static_cast<double>(aEngines.size());
--- a/packages/relay/src/ExpiryGrace.cpp
+++ b/packages/relay/src/ExpiryGrace.cpp
@@ -78,11 +78,11 @@
 
 std::optional<Instant>
 ExpiryGrace::Bounded(std::optional<Instant> aUntil,
-                     std::optional<Instant> aHallReadsSince,
+                     std::optional<Instant> aDataCentreReadsSince,
                      Instant aNow)
 {
-  if (aUntil && aHallReadsSince) {
-    aUntil = std::min(*aUntil, *aHallReadsSince + kGracePeriod);
+  if (aUntil && aDataCentreReadsSince) {
+    aUntil = std::min(*aUntil, *aDataCentreReadsSince + kGracePeriod);
   }
   return aUntil && aNow < *aUntil ? aUntil : std::nullopt;
 }
--- a/packages/relay/src/Fleet.cpp
+++ b/packages/relay/src/Fleet.cpp
@@ -47,25 +47,25 @@
 
 } // namespace
 
-LifeOrder
-Fleet::NoteLife(const Member& aMember)
+IncarnationOrder
+Fleet::NoteIncarnation(const Member& aMember)
 {
   if (!aMember.m_born) {
-    return LifeOrder::Same;
+    return IncarnationOrder::Same;
   }
-  if (m_born.size() > m_members.size() + kMostPastLives) {
+  if (m_born.size() > m_members.size() + kMostPastIncarnations) {
     std::erase_if(m_born, [this](const auto& aEntry) {
       return !m_members.contains(aEntry.first);
     });
   }
   const auto [known, isFirst] = m_born.emplace(aMember.m_id, *aMember.m_born);
-  const LifeOrder order = Compare(known->second, aMember.m_born);
+  const IncarnationOrder order = Compare(known->second, aMember.m_born);
   known->second = std::max(known->second, *aMember.m_born);
   return order;
 }
 
 void
-Fleet::ForgetLife(const std::string& aId)
+Fleet::ForgetIncarnation(const std::string& aId)
 {
   const std::uint32_t hash = ShortHash(aId);
   m_members.erase(aId);
@@ -75,15 +75,15 @@
   });
 }
 
-LifeOrder
+IncarnationOrder
 Fleet::Put(const Member& aMember)
 {
-  const LifeOrder order = NoteLife(aMember);
-  if (order == LifeOrder::Earlier) {
+  const IncarnationOrder order = NoteIncarnation(aMember);
+  if (order == IncarnationOrder::Earlier) {
     return order;
   }
-  if (order == LifeOrder::Later) {
-    ForgetLife(aMember.m_id);
+  if (order == IncarnationOrder::Later) {
+    ForgetIncarnation(aMember.m_id);
   }
   Update(aMember);
   return order;
@@ -132,24 +132,24 @@
 }
 
 void
-Fleet::BoundGracePeriods(std::string_view aHall, Instant aUntil)
+Fleet::BoundGracePeriods(std::string_view aDataCentre, Instant aUntil)
 {
   for (auto& [id, state] : m_members) {
-    if (state.m_goneAt && state.m_member.m_hall == aHall) {
+    if (state.m_goneAt && state.m_member.m_dataCentre == aDataCentre) {
       state.m_goneAt = std::min(*state.m_goneAt, aUntil);
     }
   }
 }
 
 void
-Fleet::MarkLeaving(const UpstreamLife& aUpstream)
+Fleet::MarkLeaving(const UpstreamIncarnation& aUpstream)
 {
   const auto found = m_members.find(aUpstream.m_id);
   if (found == m_members.end()) {
     return;
   }
   const auto& held = found->second.m_member.m_born;
-  if (Compare(held, aUpstream.m_born) == LifeOrder::Same) {
+  if (Compare(held, aUpstream.m_born) == IncarnationOrder::Same) {
     found->second.m_member.m_leaving = true;
   }
 }
--- a/packages/relay/src/FleetPlacement.cpp
+++ b/packages/relay/src/FleetPlacement.cpp
@@ -75,7 +75,7 @@
  * Additional cost of a plain call to another data centre, in ms: the network
  * round trip.
  */
-constexpr double kOtherHallMs = 3;
+constexpr double kOtherDataCentreMs = 3;
 /**
  * When one of the open connections should become free: several times the
  * duration of a plain call.
@@ -262,9 +262,9 @@
       aState->m_tookMs == 0 ? kUnknownTookMs : aState->m_tookMs;
     const double busy =
       static_cast<double>(aState->m_inFlight + aState->m_peerInFlight) + 1;
-    const bool away = aState->m_member.m_hall != aRequest.m_hall;
+    const bool away = aState->m_member.m_dataCentre != aRequest.m_dataCentre;
     return took * busy * (1 + kFailPenalty * aState->m_failShare) +
-           (away ? kOtherHallMs : 0);
+           (away ? kOtherDataCentreMs : 0);
   };
   const auto best = std::min_element(
     aSound.begin(), aSound.end(), [&](const State* aLeft, const State* aRight) {
@@ -381,7 +381,8 @@
   // A call that is handed over waits behind the prompts that are being
   // prefilled on the decode engine.
   const auto takes = [&](const State* aState) {
-    const bool away = aState->m_member.m_hall != aPrefillEngine.m_member.m_hall;
+    const bool away =
+      aState->m_member.m_dataCentre != aPrefillEngine.m_member.m_dataCentre;
     return FirstTokenMs(*aState, 0, ObservedThroughputOf(*aState)) +
            (away ? kRemoteDecodePenaltyMs : 0);
   };
--- a/packages/relay/src/FleetPrefillEngines.cpp
+++ b/packages/relay/src/FleetPrefillEngines.cpp
@@ -130,7 +130,7 @@
     };
     if (source.m_tokens > 0) {
       keepMost(out.m_most, source);
-      keepMost(out.m_byHall[state.m_member.m_hall], source);
+      keepMost(out.m_byDataCentre[state.m_member.m_dataCentre], source);
     }
   }
   return out;
@@ -147,9 +147,9 @@
   Candidate out;
   out.m_state = &aState;
   double fetchMs = 0;
-  const std::string& hall = aState.m_member.m_hall;
-  const auto near = aSources.m_byHall.find(hall);
-  const bool isNear = near != aSources.m_byHall.end() &&
+  const std::string& hall = aState.m_member.m_dataCentre;
+  const auto near = aSources.m_byDataCentre.find(hall);
+  const bool isNear = near != aSources.m_byDataCentre.end() &&
                       near->second.m_tokens == aSources.m_most.m_tokens;
   const TransferSource& source = isNear ? near->second : aSources.m_most;
   const std::int64_t more = source.m_tokens - kept;
@@ -178,7 +178,8 @@
                         std::span<const State* const> aSound)
 {
   const auto busy = [&](const State* aState) {
-    const bool away = aState->m_member.m_hall != aPrefillEngine.m_member.m_hall;
+    const bool away =
+      aState->m_member.m_dataCentre != aPrefillEngine.m_member.m_dataCentre;
     const auto slots = static_cast<double>(aState->m_member.m_slots);
     return static_cast<double>(aState->m_inFlight + aState->m_peerInFlight) +
            (away ? kAwayShare * slots : 0);
--- a/packages/relay/src/FleetRoles.cpp
+++ b/packages/relay/src/FleetRoles.cpp
@@ -87,7 +87,7 @@
     if (member.m_service == aService && !member.m_leaving && !state.m_goneAt &&
         member.m_role != UpstreamRole::Plain) {
       out.push_back({ id,
-                      member.m_hall,
+                      member.m_dataCentre,
                       member.m_role,
                       state.m_inFlight + state.m_peerInFlight });
     }
--- a/packages/relay/src/LeavingUpstreams.cpp
+++ b/packages/relay/src/LeavingUpstreams.cpp
@@ -3,17 +3,17 @@
 namespace ridgeferry::relay {
 
 bool
-LeavingUpstreams::NoteListed(const UpstreamLife& aUpstream)
+LeavingUpstreams::NoteListed(const UpstreamIncarnation& aUpstream)
 {
   return m_announced.emplace(aUpstream.m_id, aUpstream).second;
 }
 
 bool
-LeavingUpstreams::NoteFromPeer(const UpstreamLife& aUpstream,
-                               const UpstreamLife* aListed)
+LeavingUpstreams::NoteFromPeer(const UpstreamIncarnation& aUpstream,
+                               const UpstreamIncarnation* aListed)
 {
   return aListed != nullptr &&
-         Compare(aListed->m_born, aUpstream.m_born) == LifeOrder::Same &&
+         Compare(aListed->m_born, aUpstream.m_born) == IncarnationOrder::Same &&
          m_announced.emplace(aUpstream.m_id, aUpstream).second;
 }
 
--- a/packages/relay/src/RemovedUpstreams.cpp
+++ b/packages/relay/src/RemovedUpstreams.cpp
@@ -3,7 +3,7 @@
 namespace ridgeferry::relay {
 
 void
-RemovedUpstreams::NoteGone(const UpstreamLife& aUpstream, Instant aNow)
+RemovedUpstreams::NoteGone(const UpstreamIncarnation& aUpstream, Instant aNow)
 {
   m_gone.insert_or_assign(aUpstream.m_id, Gone{ aUpstream, aNow });
 }
@@ -26,8 +26,8 @@
   if (gone == m_gone.end()) {
     return false;
   }
-  const auto born = gone->second.m_life.m_born;
-  if (Compare(born, aMember.m_born) == LifeOrder::Later) {
+  const auto born = gone->second.m_incarnation.m_born;
+  if (Compare(born, aMember.m_born) == IncarnationOrder::Later) {
     return false; // This incarnation started after the one that was removed.
   }
   // If the row is already held back, a further copy does not restart the hold
--- a/packages/relay/src/RoleChangeController.cpp
+++ b/packages/relay/src/RoleChangeController.cpp
@@ -134,7 +134,8 @@
   if (report && !change.m_born) {
     change.m_born = report->m_born;
   }
-  if (report && Compare(change.m_born, report->m_born) != LifeOrder::Same) {
+  if (report &&
+      Compare(change.m_born, report->m_born) != IncarnationOrder::Same) {
     m_changes.erase(found);
     m_roleUpdatesChanged = true;
     return;
--- a/packages/relay/tests/DecodePoolPlannerTest.cpp
+++ b/packages/relay/tests/DecodePoolPlannerTest.cpp
@@ -10,18 +10,18 @@
 
 /**
  * Adds `aReading` prefill engines, then `aGenerating` decode engines, of data
- * centre `aHall`.
+ * centre `aDataCentre`.
  */
 void
-AddHall(std::vector<PlannedEngine>& aEngines,
-        const std::string& aHall,
-        int aReading,
-        int aGenerating)
+AddDataCentre(std::vector<PlannedEngine>& aEngines,
+              const std::string& aDataCentre,
+              int aReading,
+              int aGenerating)
 {
   for (int i = 0; i < aReading + aGenerating; ++i) {
     PlannedEngine engine;
-    engine.m_id = aHall + std::to_string(i);
-    engine.m_hall = aHall;
+    engine.m_id = aDataCentre + std::to_string(i);
+    engine.m_dataCentre = aDataCentre;
     engine.m_role = i < aReading ? UpstreamRole::Prefill : UpstreamRole::Decode;
     engine.m_running = i;
     aEngines.push_back(engine);
@@ -58,9 +58,9 @@
 TEST_P(DecodePoolPlanTest, AsFewEnginesDecodeAsTheOutputNeeds)
 {
   std::vector<PlannedEngine> engines;
-  AddHall(engines, "a", GetParam().m_reading, GetParam().m_generating);
-  AddHall(engines, "b", 4, 2);
-  AddHall(engines, "c", 4, 2);
+  AddDataCentre(engines, "a", GetParam().m_reading, GetParam().m_generating);
+  AddDataCentre(engines, "b", 4, 2);
+  AddDataCentre(engines, "c", 4, 2);
   DecodePoolPlanner planner;
   planner.Plan(engines, GetParam().m_needed, kNow);
   const auto changes =
@@ -70,7 +70,7 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(
-  Halls,
+  DataCentres,
   DecodePoolPlanTest,
   ::testing::Values(
     PlanCase{ "IdleOnesRead", 2, 4, 3, Duration{ 0 }, 2, 0 },
@@ -86,7 +86,7 @@
 {
   std::vector<PlannedEngine> engines;
   // Engines a2 to a5 decode; a2 has the fewest calls.
-  AddHall(engines, "a", 2, 4);
+  AddDataCentre(engines, "a", 2, 4);
   engines[2].m_changes = true;
   DecodePoolPlanner planner;
   EXPECT_EQ(planner.Plan(engines, 1, kNow),
@@ -97,9 +97,9 @@
 TEST(DecodePoolPlannerTest, ADataCentreThatRecoversStartsItsWaitAnew)
 {
   std::vector<PlannedEngine> lost;
-  AddHall(lost, "a", 4, 0);
+  AddDataCentre(lost, "a", 4, 0);
   std::vector<PlannedEngine> whole;
-  AddHall(whole, "a", 4, 1);
+  AddDataCentre(whole, "a", 4, 1);
   DecodePoolPlanner planner;
   planner.Plan(lost, 1, kNow);
   planner.Plan(whole, 1, kNow + Duration{ 2000 });
@@ -110,12 +110,12 @@
 {
   EXPECT_TRUE(rc::check("any fleet and any need for decode engines", [] {
     std::vector<PlannedEngine> engines;
-    const int halls = *rc::gen::inRange(1, 4);
-    for (int hall = 0; hall < halls; ++hall) {
-      AddHall(engines,
-              std::string(1, static_cast<char>('a' + hall)),
-              *rc::gen::inRange(1, 8),
-              *rc::gen::inRange(1, 8));
+    const int dataCentres = *rc::gen::inRange(1, 4);
+    for (int hall = 0; hall < dataCentres; ++hall) {
+      AddDataCentre(engines,
+                    std::string(1, static_cast<char>('a' + hall)),
+                    *rc::gen::inRange(1, 8),
+                    *rc::gen::inRange(1, 8));
     }
     const double needed = *rc::gen::inRange(0, 40);
     DecodePoolPlanner planner;
@@ -135,7 +135,8 @@
            { UpstreamRole::Prefill, UpstreamRole::Decode }) {
         RC_ASSERT(std::any_of(
           engines.begin(), engines.end(), [&](const PlannedEngine& aOther) {
-            return aOther.m_hall == engine.m_hall && aOther.m_role == part;
+            return aOther.m_dataCentre == engine.m_dataCentre &&
+                   aOther.m_role == part;
           }));
       }
     }
--- a/packages/relay/tests/ExpiryGraceTest.cpp
+++ b/packages/relay/tests/ExpiryGraceTest.cpp
@@ -59,14 +59,14 @@
 
 struct Message
 {
-  int m_hall = 0;
+  int m_dataCentre = 0;
   bool m_lost = false;
   bool m_steady = false;
   std::optional<Duration> m_readsFor;
 };
 
 /** Data centre of no instance here: no instance can report on its upstreams. */
-constexpr int kNoHall = -1;
+constexpr int kNoDataCentre = -1;
 
 /**
  * Returns whether the span has not begun or is empty, or has ended long enough
@@ -123,13 +123,16 @@
   /**
    * `aRejected`: when the store rejects this instance alone. `aCut`: when the
    * instance's whole data centre is cut off, also from the other instances.
-   * `aRowsHall`: data centre of the upstream that is followed.
+   * `aRowsDataCentre`: data centre of the upstream that is followed.
    */
-  Follower(Span aRejected, Span aCut, Span aFrozen, int aRowsHall = kNoHall)
+  Follower(Span aRejected,
+           Span aCut,
+           Span aFrozen,
+           int aRowsDataCentre = kNoDataCentre)
     : m_rejected(aRejected)
     , m_cut(aCut)
     , m_frozen(aFrozen)
-    , m_rowsHall(aRowsHall)
+    , m_rowsDataCentre(aRowsDataCentre)
   {
   }
 
@@ -172,9 +175,9 @@
                    : std::optional(Bounded(m_grace.Until(At(aAt)), aAt));
   }
 
-  Message Report(int aHall, int aAt) const
+  Message Report(int aDataCentre, int aAt) const
   {
-    return { aHall,
+    return { aDataCentre,
              m_grace.IsLost(),
              m_grace.IsSteady(At(aAt)),
              m_grace.ReadsFor(At(aAt)) };
@@ -200,17 +203,17 @@
    */
   Instant Bounded(std::optional<Instant> aUntil, int aAt) const
   {
-    const bool isFresh = aAt - m_hallHeardAt <= kHeardMs;
-    const auto since = isFresh ? m_hallReadsSince : std::nullopt;
+    const bool isFresh = aAt - m_dataCentreHeardAt <= kHeardMs;
+    const auto since = isFresh ? m_dataCentreReadsSince : std::nullopt;
     return ExpiryGrace::Bounded(aUntil, since, At(aAt)).value_or(At(aAt));
   }
 
-  void TakeOfRowsHall(const Message& aMessage, int aAt)
+  void TakeOfRowsDataCentre(const Message& aMessage, int aAt)
   {
-    m_hallHeardAt = aAt;
-    m_hallReadsSince.reset();
+    m_dataCentreHeardAt = aAt;
+    m_dataCentreReadsSince.reset();
     if (aMessage.m_readsFor) {
-      m_hallReadsSince = At(aAt) - *aMessage.m_readsFor;
+      m_dataCentreReadsSince = At(aAt) - *aMessage.m_readsFor;
     }
     if (m_gone) {
       m_gone = Bounded(m_gone, aAt);
@@ -222,8 +225,8 @@
     if (!aMessage.m_lost) {
       m_heardAt = aAt;
     }
-    if (aMessage.m_hall == m_rowsHall) {
-      TakeOfRowsHall(aMessage, aAt);
+    if (aMessage.m_dataCentre == m_rowsDataCentre) {
+      TakeOfRowsDataCentre(aMessage, aAt);
     }
     const bool hears = m_heardAt && aAt - *m_heardAt <= kHeardMs;
     if (aMessage.m_lost && !hears) {
@@ -238,10 +241,10 @@
   Span m_rejected;
   Span m_cut;
   Span m_frozen;
-  int m_rowsHall;
+  int m_rowsDataCentre;
   ExpiryGrace m_grace;
-  int m_hallHeardAt = -kEndMs;
-  std::optional<Instant> m_hallReadsSince;
+  int m_dataCentreHeardAt = -kEndMs;
+  std::optional<Instant> m_dataCentreReadsSince;
   std::deque<Message> m_inbox;
   bool m_there = true;
   std::optional<Instant> m_gone;
--- a/packages/relay/tests/FleetDecodeTargetTest.cpp
+++ b/packages/relay/tests/FleetDecodeTargetTest.cpp
@@ -32,10 +32,12 @@
     }
   }
 
-  void Put(const std::string& aId, const std::string& aHall, UpstreamRole aPart)
+  void Put(const std::string& aId,
+           const std::string& aDataCentre,
+           UpstreamRole aPart)
   {
     Member member = MakeMember(aId, "llm", aPart);
-    member.m_hall = aHall;
+    member.m_dataCentre = aDataCentre;
     member.m_slots = 48;
     m_fleet.Put(member);
   }
--- a/packages/relay/tests/FleetDisaggregatedTest.cpp
+++ b/packages/relay/tests/FleetDisaggregatedTest.cpp
@@ -34,10 +34,12 @@
     m_fleet.NoteThroughput({ "ag", 30'000, Duration{ 1015 }, true });
   }
 
-  void Put(const std::string& aId, const std::string& aHall, UpstreamRole aPart)
+  void Put(const std::string& aId,
+           const std::string& aDataCentre,
+           UpstreamRole aPart)
   {
     Member member = MakeMember(aId, "llm", aPart);
-    member.m_hall = aHall;
+    member.m_dataCentre = aDataCentre;
     member.m_slots = 64;
     m_fleet.Put(member);
   }
@@ -50,7 +52,7 @@
   {
     PlaceRequest out;
     out.m_service = "llm";
-    out.m_hall = "a";
+    out.m_dataCentre = "a";
     Prompt prompt{ aPart, kShared, kOwn, 120 };
     prompt.m_prefixSegments = { { aPart, kShared } };
     out.m_prompt = prompt;
--- a/packages/relay/tests/FleetFixture.h
+++ b/packages/relay/tests/FleetFixture.h
@@ -18,7 +18,7 @@
   Member out;
   out.m_id = std::move(aId);
   out.m_service = std::move(aService);
-  out.m_hall = "hall";
+  out.m_dataCentre = "hall";
   out.m_address = "10.0.0.1:80";
   out.m_role = aPart;
   return out;
@@ -29,7 +29,7 @@
 {
   PlaceRequest out;
   out.m_service = "desk";
-  out.m_hall = "hall";
+  out.m_dataCentre = "hall";
   return out;
 }
 
@@ -38,7 +38,7 @@
 {
   PlaceRequest out;
   out.m_service = "llm";
-  out.m_hall = "hall";
+  out.m_dataCentre = "hall";
   out.m_prompt = Prompt{ aChain, 6000, 3000, 2 };
   return out;
 }
--- a/packages/relay/tests/FleetHerdTest.cpp
+++ b/packages/relay/tests/FleetHerdTest.cpp
@@ -43,7 +43,7 @@
                    "llm",
                    reads ? UpstreamRole::Prefill : UpstreamRole::Decode);
       member.m_slots = 12;
-      member.m_hall = "hall" + std::to_string(i % 5);
+      member.m_dataCentre = "hall" + std::to_string(i % 5);
       m_fleet.Put(member);
     }
     // Engine e0 looks idle to all instances; the others have a little load.
--- a/packages/relay/tests/FleetTest.cpp
+++ b/packages/relay/tests/FleetTest.cpp
@@ -130,13 +130,13 @@
 // bound shortens a grace period, and must never start or lengthen one.
 TEST_F(FleetTest, AGracePeriodIsBoundedForTheMembersOfOneDataCentre)
 {
-  const std::string hall = m_fleet.Find("b")->m_hall;
+  const std::string dataCentre = m_fleet.Find("b")->m_dataCentre;
   m_fleet.Drop("b", kNow + kGrace);
   m_fleet.BoundGracePeriods("another", kNow);
-  m_fleet.BoundGracePeriods(hall, kNow + kGrace * 2);
+  m_fleet.BoundGracePeriods(dataCentre, kNow + kGrace * 2);
   m_fleet.Tick(kNow + kGrace - Duration{ 1 });
   EXPECT_NE(m_fleet.Find("b"), nullptr);
-  m_fleet.BoundGracePeriods(hall, kNow);
+  m_fleet.BoundGracePeriods(dataCentre, kNow);
   m_fleet.Tick(kNow);
   EXPECT_EQ(m_fleet.Find("b"), nullptr);
   EXPECT_NE(m_fleet.Find("a"), nullptr);
@@ -378,7 +378,7 @@
   const char* m_name;
   std::optional<std::int64_t> m_born;
   bool m_droppedBefore;
-  LifeOrder m_order;
+  IncarnationOrder m_order;
   bool m_isUsed;
 };
 
@@ -406,24 +406,28 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(
-  Lives,
+  Incarnations,
   FleetIncarnationTest,
   ::testing::Values(
-    IncarnationCase{ "Later", 2000, false, LifeOrder::Later, true },
+    IncarnationCase{ "Later", 2000, false, IncarnationOrder::Later, true },
     IncarnationCase{ "LaterAfterItHadGone",
                      2000,
                      true,
-                     LifeOrder::Later,
+                     IncarnationOrder::Later,
                      true },
-    IncarnationCase{ "Same", 1000, false, LifeOrder::Same, false },
-    IncarnationCase{ "SameAfterALapse", 1000, true, LifeOrder::Same, true },
-    IncarnationCase{ "Earlier", 900, false, LifeOrder::Earlier, false },
+    IncarnationCase{ "Same", 1000, false, IncarnationOrder::Same, false },
+    IncarnationCase{ "SameAfterALapse",
+                     1000,
+                     true,
+                     IncarnationOrder::Same,
+                     true },
+    IncarnationCase{ "Earlier", 900, false, IncarnationOrder::Earlier, false },
     IncarnationCase{ "EarlierAfterItHadGone",
                      900,
                      true,
-                     LifeOrder::Earlier,
+                     IncarnationOrder::Earlier,
                      false },
-    IncarnationCase{ "NotSaid", {}, false, LifeOrder::Same, false }),
+    IncarnationCase{ "NotSaid", {}, false, IncarnationOrder::Same, false }),
   [](const auto& aInfo) { return std::string(aInfo.param.m_name); });
 
 // Calls and failures of an earlier incarnation must not affect the later one.
--- a/packages/relay/tests/LeavingUpstreamsTest.cpp
+++ b/packages/relay/tests/LeavingUpstreamsTest.cpp
@@ -11,13 +11,13 @@
   /** A peer announces an upstream that is listed here. */
   ByPeer,
   ByPeerWithoutBirth,
-  ByPeerOfAnotherLife,
+  ByPeerOfAnotherIncarnation,
   /** A peer announces an upstream that is not listed here, or no longer. */
   ByPeerUnlisted,
   Gone,
 };
 
-const UpstreamLife kListed{ "engine-1", 1000 };
+const UpstreamIncarnation kListed{ "engine-1", 1000 };
 
 struct NewsCase
 {
@@ -40,7 +40,7 @@
       return aNews.NoteFromPeer(kListed, &kListed);
     case Announcement::ByPeerWithoutBirth:
       return aNews.NoteFromPeer({ kListed.m_id }, &kListed);
-    case Announcement::ByPeerOfAnotherLife:
+    case Announcement::ByPeerOfAnotherIncarnation:
       return aNews.NoteFromPeer({ kListed.m_id, 5 }, &kListed);
     case Announcement::ByPeerUnlisted:
       return aNews.NoteFromPeer(kListed, nullptr);
@@ -87,7 +87,7 @@
               true,
               1 },
     NewsCase{ "AnotherLifeDoesNotLeave",
-              { Announcement::ByPeerOfAnotherLife },
+              { Announcement::ByPeerOfAnotherIncarnation },
               false,
               0 },
     NewsCase{ "ALatePeerIsNotBelieved",
