--- a/packages/routing/include/ridgeferry/routing/TeamLimiter.h
+++ b/packages/routing/include/ridgeferry/routing/OrganisationLimiter.h
@@ -15,7 +15,7 @@
  * common store. While instances join or leave, the data centre may briefly
  * allow more or fewer calls than the limit. Not thread-safe.
  */
-class TeamLimiter
+class OrganisationLimiter
 {
 public:
   /** Size of the burst that an organisation may send, in seconds of its
@@ -27,11 +27,11 @@
    * admitted; `Release` must then be called once when the call ends. Otherwise
    * returns the retry delay.
    */
-  std::optional<Duration> Take(const declared::Team& aTeam,
+  std::optional<Duration> Take(const declared::Organisation& aOrganisation,
                                std::size_t aLiveInstances,
                                Instant aNow);
   /** Records the end of an admitted call. */
-  void Release(std::string_view aTeam);
+  void Release(std::string_view aOrganisation);
 
 private:
   /** Usage of one organisation at this instance. */
--- a/packages/routing/include/ridgeferry/routing/Problem.h
+++ b/packages/routing/include/ridgeferry/routing/Problem.h
@@ -13,13 +13,13 @@
 enum class ProblemCode
 {
   BadRequest,
-  UnknownTeam,
+  UnknownOrganisation,
   UnknownModel,
   UnknownService,
   NotFound,
-  TeamLimit,  ///< The organisation's declared limit is reached.
-  Overloaded, ///< The call cannot be served before its deadline.
-  NoUpstream, ///< No upstream exists that may serve the call.
+  OrganisationLimit, ///< The organisation's declared limit is reached.
+  Overloaded,        ///< The call cannot be served before its deadline.
+  NoUpstream,        ///< No upstream exists that may serve the call.
   DeadlineExceeded,
   UpstreamFailed, ///< The upstream failed, and the call was not retried.
   ClaimOpen,      ///< An earlier call with this key may be running.
--- a/packages/routing/include/ridgeferry/routing/UpstreamSet.h
+++ b/packages/routing/include/ridgeferry/routing/UpstreamSet.h
@@ -23,7 +23,7 @@
 {
   std::string m_id;
   UpstreamKind m_kind = UpstreamKind::Engine;
-  std::string m_hall;
+  std::string m_dataCentre;
   std::string m_address; ///< IP:PORT.
   declared::Labels m_labels;
   bool m_leaving = false;
--- a/packages/routing/src/TeamLimiter.cpp
+++ b/packages/routing/src/OrganisationLimiter.cpp
@@ -1,4 +1,4 @@
-#include "ridgeferry/routing/TeamLimiter.h"
+#include "ridgeferry/routing/OrganisationLimiter.h"
 
 #include <algorithm>
 #include <cmath>
@@ -13,14 +13,14 @@
 } // namespace
 
 std::optional<Duration>
-TeamLimiter::Take(const declared::Team& aTeam,
-                  std::size_t aLiveInstances,
-                  Instant aNow)
+OrganisationLimiter::Take(const declared::Organisation& aOrganisation,
+                          std::size_t aLiveInstances,
+                          Instant aNow)
 {
   const auto instances =
     static_cast<double>(std::max<std::size_t>(1, aLiveInstances));
-  Usage& usage = m_usage[aTeam.m_name];
-  const declared::TeamLimits& limits = aTeam.m_limits;
+  Usage& usage = m_usage[aOrganisation.m_name];
+  const declared::OrganisationLimits& limits = aOrganisation.m_limits;
   if (limits.m_inFlight > 0) {
     // The share is rounded up, so that a small limit does not become 0.
     const auto share = static_cast<std::int64_t>(
@@ -49,9 +49,9 @@
 }
 
 void
-TeamLimiter::Release(std::string_view aTeam)
+OrganisationLimiter::Release(std::string_view aOrganisation)
 {
-  const auto it = m_usage.find(aTeam);
+  const auto it = m_usage.find(aOrganisation);
   if (it != m_usage.end() && it->second.m_inFlight > 0) {
     --it->second.m_inFlight;
   }
--- a/packages/routing/src/Problem.cpp
+++ b/packages/routing/src/Problem.cpp
@@ -15,11 +15,11 @@
 
 constexpr std::array kCodes = {
   CodeRow{ ProblemCode::BadRequest, "bad-request", 400 },
-  CodeRow{ ProblemCode::UnknownTeam, "unknown-team", 403 },
+  CodeRow{ ProblemCode::UnknownOrganisation, "unknown-team", 403 },
   CodeRow{ ProblemCode::UnknownModel, "unknown-model", 404 },
   CodeRow{ ProblemCode::UnknownService, "unknown-service", 404 },
   CodeRow{ ProblemCode::NotFound, "not-found", 404 },
-  CodeRow{ ProblemCode::TeamLimit, "team-limit", 429 },
+  CodeRow{ ProblemCode::OrganisationLimit, "team-limit", 429 },
   CodeRow{ ProblemCode::Overloaded, "overloaded", 503 },
   CodeRow{ ProblemCode::NoUpstream, "no-upstream", 503 },
   CodeRow{ ProblemCode::DeadlineExceeded, "deadline-exceeded", 504 },
--- a/packages/routing/tests/DispatcherTest.cpp
+++ b/packages/routing/tests/DispatcherTest.cpp
@@ -1,7 +1,7 @@
 #include <gtest/gtest.h>
 #include <ridgeferry/routing/Dispatcher.h>
+#include <ridgeferry/routing/OrganisationLimiter.h>
 #include <ridgeferry/routing/RetryBudget.h>
-#include <ridgeferry/routing/TeamLimiter.h>
 
 namespace ridgeferry::routing {
 namespace {
@@ -225,32 +225,33 @@
 
 // All instances together must allow one organisation no more than its rate. At
 // a rate of 10 calls a second, the burst of 2 s is 20 calls.
-TEST(TeamLimiterTest, SharesARateAmongInstances)
+TEST(OrganisationLimiterTest, SharesARateAmongInstances)
 {
-  declared::Team team;
-  team.m_name = "t";
-  team.m_limits.m_requestsPerSecond = 10;
+  declared::Organisation organisation;
+  organisation.m_name = "t";
+  organisation.m_limits.m_requestsPerSecond = 10;
   for (std::size_t instances : { 1U, 2U, 5U }) {
-    TeamLimiter limiter;
+    OrganisationLimiter limiter;
     int allowed = 0;
-    while (!limiter.Take(team, instances, kStart)) {
+    while (!limiter.Take(organisation, instances, kStart)) {
       ++allowed;
     }
     EXPECT_EQ(allowed, 20 / static_cast<int>(instances));
-    EXPECT_FALSE(limiter.Take(team, instances, kStart + Duration{ 1000 }));
+    EXPECT_FALSE(
+      limiter.Take(organisation, instances, kStart + Duration{ 1000 }));
   }
 }
 
-TEST(TeamLimiterTest, CountsCallsInFlight)
+TEST(OrganisationLimiterTest, CountsCallsInFlight)
 {
-  declared::Team team;
-  team.m_name = "t";
-  team.m_limits.m_inFlight = 1;
-  TeamLimiter limiter;
-  EXPECT_FALSE(limiter.Take(team, 1, kStart));
-  EXPECT_TRUE(limiter.Take(team, 1, kStart));
+  declared::Organisation organisation;
+  organisation.m_name = "t";
+  organisation.m_limits.m_inFlight = 1;
+  OrganisationLimiter limiter;
+  EXPECT_FALSE(limiter.Take(organisation, 1, kStart));
+  EXPECT_TRUE(limiter.Take(organisation, 1, kStart));
   limiter.Release("t");
-  EXPECT_FALSE(limiter.Take(team, 1, kStart));
+  EXPECT_FALSE(limiter.Take(organisation, 1, kStart));
 }
 
 // After the initial budget is used up, retries must be limited to a fraction of
--- a/packages/upstream/include/ridgeferry/upstream/EngineClient.h
+++ b/packages/upstream/include/ridgeferry/upstream/EngineClient.h
@@ -3,7 +3,7 @@
 #include <cstdint>
 #include <optional>
 #include <ridgeferry/authority/Order.h>
-#include <ridgeferry/authority/OrderDesk.h>
+#include <ridgeferry/authority/OrderController.h>
 #include <ridgeferry/base/Time.h>
 #include <ridgeferry/net/HttpClient.h>
 #include <ridgeferry/routing/UpstreamSet.h>
--- a/tests/fakes/FakePlatform.cpp
+++ b/tests/fakes/FakePlatform.cpp
@@ -26,8 +26,8 @@
 /** How the services fail now; switched by `POST /fake`. */
 struct Faults
 {
-  std::string m_outage = "none";    ///< `none`, `refuse` or `hang`.
-  std::set<std::string> m_cutHalls; ///< Their list cannot be had.
+  std::string m_outage = "none";          ///< `none`, `refuse` or `hang`.
+  std::set<std::string> m_cutDataCentres; ///< Their list cannot be had.
   int m_loseAnswers = 0; ///< Writes that take effect without an answer.
   int m_dropWrites = 0;  ///< Writes that are lost before they take effect.
   std::int64_t m_delay = 0;
@@ -219,14 +219,14 @@
 
   void List(net::HttpExchange& aExchange)
   {
-    const std::string hall = aExchange.QueryValue("hall");
-    if (m_faults.m_cutHalls.contains(hall)) {
+    const std::string dataCentre = aExchange.QueryValue("hall");
+    if (m_faults.m_cutDataCentres.contains(dataCentre)) {
       ReplyJson(aExchange, kUnavailable, {});
       return;
     }
     nlohmann::json out = nlohmann::json::array();
     for (const auto& [id, member] : m_members) {
-      if (hall.empty() || member.value("hall", "") == hall) {
+      if (dataCentre.empty() || member.value("hall", "") == dataCentre) {
         out.push_back(member);
       }
     }
@@ -248,7 +248,7 @@
     m_faults.m_dropWrites = body.value("dropWrites", m_faults.m_dropWrites);
     m_faults.m_delay = body.value("delayMs", m_faults.m_delay);
     if (body.contains("cutHalls")) {
-      m_faults.m_cutHalls = body["cutHalls"].get<std::set<std::string>>();
+      m_faults.m_cutDataCentres = body["cutHalls"].get<std::set<std::string>>();
     }
     const nlohmann::json none = nlohmann::json::array();
     const nlohmann::json members = body.value("members", none);
--- a/tests/session/Cluster.cpp
+++ b/tests/session/Cluster.cpp
@@ -58,10 +58,13 @@
          service.at("id"),
          service.value("arguments", nlohmann::json::object()));
   }
-  for (const auto& [hall, count] : m_plan.at("instances").items()) {
+  for (const auto& [dataCentre, count] : m_plan.at("instances").items()) {
     for (int i = 1; i <= count.get<int>(); ++i) {
-      m_instances[hall + "-" + std::to_string(i)] = {
-        hall, m_ports.NewAddress(), m_ports.NewAddress(), m_ports.NewAddress()
+      m_instances[dataCentre + "-" + std::to_string(i)] = {
+        dataCentre,
+        m_ports.NewAddress(),
+        m_ports.NewAddress(),
+        m_ports.NewAddress()
       };
     }
   }
@@ -74,7 +77,7 @@
   const std::string& platform = m_fakes.at("platform");
   nlohmann::json settings = {
     { "instance", aName },
-    { "hall", plan.m_hall },
+    { "hall", plan.m_dataCentre },
     { "listen",
       { { "callers", plan.m_callers },
         { "admin", plan.m_admin },
@@ -117,7 +120,7 @@
   for (const auto& [name, plan] : m_instances) {
     members.push_back({ { "id", name },
                         { "kind", "instance" },
-                        { "hall", plan.m_hall },
+                        { "hall", plan.m_dataCentre },
                         { "address", plan.m_peers },
                         { "labels", nlohmann::json::object() },
                         { "state", "live" } });
--- a/tests/session/Cluster.h
+++ b/tests/session/Cluster.h
@@ -66,7 +66,7 @@
 private:
   struct InstancePlan
   {
-    std::string m_hall;
+    std::string m_dataCentre;
     std::string m_callers;
     std::string m_admin;
     std::string m_peers;
--- a/tests/soak/SoakCallers.cpp
+++ b/tests/soak/SoakCallers.cpp
@@ -165,7 +165,7 @@
     }
     ConfigProbe probe;
     probe.m_instance = instance->m_name;
-    probe.m_life = instance->m_life;
+    probe.m_incarnation = instance->m_incarnation;
     probe.m_version = m_version;
     probe.m_sentAt = m_loop.Now();
     Send(CallKind::Safe,
@@ -179,7 +179,7 @@
            // Of a refusal it cannot be told; of another life's answer neither.
            if (aCall.m_end == CallEnd::Whole &&
                aCall.m_status != kUnavailable &&
-               asked->m_life == probe.m_life) {
+               asked->m_incarnation == probe.m_incarnation) {
              m_history.m_probes.push_back(probe);
            }
          });
--- a/tests/soak/SoakHistory.cpp
+++ b/tests/soak/SoakHistory.cpp
@@ -270,7 +270,7 @@
   {
     std::map<std::pair<std::string, int>, std::uint64_t> seen;
     for (const ConfigProbe& probe : m_history.m_probes) {
-      std::uint64_t& highest = seen[{ probe.m_instance, probe.m_life }];
+      std::uint64_t& highest = seen[{ probe.m_instance, probe.m_incarnation }];
       if (probe.m_inForce) {
         highest = std::max(highest, probe.m_version);
       } else if (probe.m_version == highest && !IsOvertaken(probe)) {
--- a/tests/soak/SoakHistory.h
+++ b/tests/soak/SoakHistory.h
@@ -80,7 +80,7 @@
 struct ConfigProbe
 {
   std::string m_instance;
-  int m_life = 0; ///< Number of the process under that name.
+  int m_incarnation = 0; ///< Number of the process under that name.
   std::uint64_t m_version = 0;
   bool m_inForce = false;
   Instant m_sentAt;
--- a/tests/soak/SoakInstances.cpp
+++ b/tests/soak/SoakInstances.cpp
@@ -95,8 +95,8 @@
                       { m_program.string() },
                       m_files / (aInstance.m_name + ".log"));
   aInstance.m_stopping = false;
-  ++aInstance.m_life;
-  if (aInstance.m_life > 1) {
+  ++aInstance.m_incarnation;
+  if (aInstance.m_incarnation > 1) {
     m_history.m_disturbances.push_back(
       { aInstance.m_name, aInstance.m_downSince, m_loop.Now() });
   }
--- a/tests/soak/SoakInstances.h
+++ b/tests/soak/SoakInstances.h
@@ -27,7 +27,7 @@
     std::string m_metrics;
     std::string m_peers;
     std::unique_ptr<FaultyLink> m_storeLink;
-    int m_life = 0; ///< Number of its present process.
+    int m_incarnation = 0; ///< Number of its present process.
     bool m_running = false;
     bool m_stopping = false; ///< Told to stop, as planned.
     bool m_inBalance = false;
