--- a/packages/entry/include/ridgeferry/entry/Dialect.h
+++ b/packages/entry/include/ridgeferry/entry/Dialect.h
@@ -46,10 +46,10 @@
   bool m_readOnly = false;
   /** Address of an engine that has a prefix of the prompt cached, from which
    * the upstream can fetch it; empty if there is none. */
-  std::string m_fetchAddress;
+  std::string m_transferSourceAddress;
   /** Address of the prefill engine that holds the KV cache of the prompt; empty
    * if there is none. */
-  std::string m_readerAddress;
+  std::string m_prefillAddress;
   std::string m_handle; ///< Handle of the KV cache on the prefill engine.
   /** Id of the event after which the answer's stream resumes; empty to send
    * what the caller asked for. */
@@ -86,7 +86,7 @@
 };
 
 /** An order to an engine to change its role. */
-struct PartOrder
+struct EngineRoleOrder
 {
   std::string m_address; ///< IP:PORT of the engine.
   std::string m_engine;
@@ -101,15 +101,16 @@
 
 /** The store no longer has the history that was asked for, so that the table
  * must be read whole. */
-struct StoreForgot
+struct StoreHistoryLost
 {};
 
 /** Result of a store read: a page of rows, a lost history, or a failure. */
-using StoreAnswer = std::variant<StorePage, StoreForgot, relay::ReadFailed>;
+using StoreAnswer =
+  std::variant<StorePage, StoreHistoryLost, relay::ReadFailed>;
 
 /** The generation that an answer of the store names: std::nullopt if it names
  * none. The error is the text that the answer has in place of a number. */
-using ToldGeneration =
+using AnnouncedGeneration =
   tl::expected<std::optional<StoreGeneration>, std::string>;
 
 /** Translates between this package and the wire format of a platform. The slots
@@ -132,7 +133,7 @@
   sigc::slot<net::HttpRequest(const StoreRead&)> m_writeStoreRead;
   sigc::slot<StoreAnswer(const net::HttpResponse&)> m_readStoreAnswer;
   /** Reads the generation from the head of any answer of the store. */
-  sigc::slot<ToldGeneration(const net::HttpHead&)> m_readGeneration;
+  sigc::slot<AnnouncedGeneration(const net::HttpHead&)> m_readGeneration;
   sigc::slot<net::HttpRequest(const StoreCommit&)> m_writeStoreCommit;
   /** Returns what the answer to a commit, or the lack of an answer, shows about
    * its outcome. */
@@ -143,7 +144,7 @@
    * one. */
   sigc::slot<std::optional<relay::EngineReport>(const net::HttpResponse&)>
     m_readReport;
-  sigc::slot<net::HttpRequest(const PartOrder&)> m_writePartOrder;
+  sigc::slot<net::HttpRequest(const EngineRoleOrder&)> m_writeRoleOrder;
   sigc::slot<relay::OrderAnswer(const net::HttpResponse&)> m_readOrderAnswer;
   sigc::slot<tl::expected<relay::RouteConfig, std::vector<FieldError>>(
     std::string_view)>
--- a/packages/entry/src/Entry.cpp
+++ b/packages/entry/src/Entry.cpp
@@ -1,10 +1,10 @@
 #include "ridgeferry/entry/Entry.h"
 
-#include "PartKeeper.h"
 #include "PeerRows.h"
 #include "Peers.h"
 #include "QuarantineService.h"
 #include "Relay.h"
+#include "RoleReconciler.h"
 #include "StoreGenerations.h"
 #include "StoreReader.h"
 
@@ -78,7 +78,7 @@
   std::unique_ptr<StoreReader> m_members;
   std::unique_ptr<QuarantineService> m_quarantine;
   std::unique_ptr<Relay> m_relay;
-  std::unique_ptr<PartKeeper> m_parts;
+  std::unique_ptr<RoleReconciler> m_roleReconciler;
   std::unique_ptr<net::HttpServer> m_readiness;
   std::unique_ptr<net::HttpServer> m_metrics;
   bool m_wasReady = false;
@@ -309,7 +309,7 @@
     // The announcements and orders so far were meant for the earlier
     // incarnation.
     m_peers->NoteGone(aMember.m_id);
-    m_parts->NoteGone(aMember.m_id);
+    m_roleReconciler->NoteGone(aMember.m_id);
     m_quarantine->NoteLaterIncarnation(aMember.m_id);
   }
 }
@@ -332,7 +332,7 @@
   const auto until = relay::ExpiryGrace::Bounded(aLapsesUntil, reads, now);
   m_node.m_fleet.Drop(aUpstream, until);
   m_peers->NoteGone(aUpstream);
-  m_parts->NoteGone(aUpstream);
+  m_roleReconciler->NoteGone(aUpstream);
   const Duration lapse = until.value_or(now) - now;
   const Duration readsFor = now - reads.value_or(now);
   m_node.m_log->Write(observe::LogLevel::Info,
@@ -428,8 +428,8 @@
   ReleaseHeld();
   const bool onDuty = m_peers->IsPoller();
   const bool byPlace = m_peers->IsPollerByHash();
-  m_config->SetDuty(onDuty, byPlace);
-  m_members->SetDuty(onDuty, byPlace);
+  m_config->SetPolling(onDuty, byPlace);
+  m_members->SetPolling(onDuty, byPlace);
   m_peers->SetStoreView(StoreView());
   if (!SameTime(ModifiedAt(m_file), m_fileTime)) {
     Reload();
@@ -522,7 +522,8 @@
   m_quarantine = std::make_unique<QuarantineService>(
     m_node, m_generations, *m_peers, *m_peerRows);
   m_relay = std::make_unique<Relay>(m_node, *m_quarantine);
-  m_parts = std::make_unique<PartKeeper>(m_node, m_generations, *m_peers);
+  m_roleReconciler =
+    std::make_unique<RoleReconciler>(m_node, m_generations, *m_peers);
   if (auto started = m_relay->Start(); !started) {
     return started;
   }
@@ -584,7 +585,7 @@
   m_quarantine->Start();
   m_config->Start();
   m_members->Start();
-  m_parts->Start();
+  m_roleReconciler->Start();
   return m_peers->Start();
 }
 
--- a/packages/entry/src/Peers.cpp
+++ b/packages/entry/src/Peers.cpp
@@ -12,10 +12,10 @@
 /** Interval at which an instance sends its load to the others. A long prompt
  * occupies an engine for some tens of milliseconds; with older loads the next
  * prompts would go to the same engine. Larger deployments send less often: the
- * interval grows by `kTalkEachPeer` with each other instance, so that the
- * bandwidth stays bounded. */
-constexpr Duration kTalkEvery{ 40 };
-constexpr Duration kTalkEachPeer{ 4 };
+ * interval grows by `kHeartbeatIntervalPerPeer` with each other instance, so
+ * that the bandwidth stays bounded. */
+constexpr Duration kHeartbeatInterval{ 40 };
+constexpr Duration kHeartbeatIntervalPerPeer{ 4 };
 /** Missed heartbeats after which an instance counts as dead: about half a
  * second. */
 constexpr int kDeadAfterMissed = 10;
@@ -55,8 +55,8 @@
 Times()
 {
   membership::RosterTimes out;
-  out.m_heartbeatEvery = kTalkEvery;
-  out.m_heartbeatEachPeer = kTalkEachPeer;
+  out.m_heartbeatEvery = kHeartbeatInterval;
+  out.m_heartbeatEachPeer = kHeartbeatIntervalPerPeer;
   out.m_deadAfterMissed = kDeadAfterMissed;
   out.m_maxRoundToAll = kMostToAll;
   return out;
@@ -111,13 +111,13 @@
     return tl::unexpected(socket.error());
   }
   m_socket = std::move(*socket);
-  m_tick = m_node.m_loop->Every(kTalkEvery, [this] {
+  m_tick = m_node.m_loop->Every(kHeartbeatInterval, [this] {
     ForgetDead();
     ForgetDataCentres();
     Handle(membership::RosterTick{});
     m_node.m_instances = m_roster.LiveCount();
   });
-  m_generations.SignalRisen().connect(
+  m_generations.SignalNewGeneration().connect(
     [this](StoreGeneration) { NoteGeneration(); });
   std::set<std::string> seeds;
   for (const net::Address& seed : m_node.m_settings.m_seeds) {
@@ -130,7 +130,7 @@
 }
 
 membership::Heartbeat
-Peers::Own() const
+Peers::OwnHeartbeat() const
 {
   membership::Heartbeat out;
   out.m_instance = m_node.m_settings.m_instance;
@@ -140,14 +140,14 @@
   out.m_ready = m_ready;
   out.m_leaving = m_leaving;
   out.m_revision = m_node.m_routes == nullptr ? 0 : m_node.m_routes->Version();
-  for (const auto& [id, upstream] : m_news.Announced()) {
+  for (const auto& [id, upstream] : m_leavingAnnouncements.Announced()) {
     out.m_leavingUpstreams.push_back(upstream);
   }
   out.m_store = m_storeView;
   out.m_disaggregatedServices = m_node.m_fleet.ReportedDisaggregatedServices();
   out.m_crashes = m_crashes;
   out.m_quarantineFingerprint = m_quarantineFingerprint;
-  for (const relay::RoleUpdate& news : m_partNews) {
+  for (const relay::RoleUpdate& news : m_ownRoleUpdates) {
     out.m_roles.push_back(
       { relay::Fleet::ShortHash(news.m_engine), DigestOf(news.m_role) });
   }
@@ -165,7 +165,7 @@
 membership::Heartbeat
 Peers::WithLoads(std::span<const relay::PeerLoad> aLoads) const
 {
-  membership::Heartbeat out = Own();
+  membership::Heartbeat out = OwnHeartbeat();
   for (const relay::PeerLoad& load : aLoads) {
     if (out.m_engines.size() == kMostLoads) {
       break;
@@ -196,7 +196,7 @@
     (dataCentre.contains(address) ? near : far).insert(address);
   }
   Send(whole, near);
-  Send(Own(), far); // Other data centres receive the loads as a sum.
+  Send(OwnHeartbeat(), far); // Other data centres receive the loads as a sum.
 }
 
 void
@@ -224,7 +224,7 @@
 }
 
 membership::StorePollers
-Peers::Duty() const
+Peers::Pollers() const
 {
   const EntrySettings& self = m_node.m_settings;
   return { m_roster, { self.m_instance, self.m_dataCentre, m_leaving } };
@@ -233,20 +233,20 @@
 bool
 Peers::IsPoller() const
 {
-  return Duty().IsPoller(m_node.Now());
+  return Pollers().IsPoller(m_node.Now());
 }
 
 bool
 Peers::IsPollerByHash() const
 {
-  return Duty().IsPollerByHash();
+  return Pollers().IsPollerByHash();
 }
 
 std::optional<Instant>
 Peers::DataCentreReadsSince(std::string_view aDataCentre,
                             StoreGeneration aGeneration) const
 {
-  return Duty().ReadsSince(aDataCentre, aGeneration, m_node.Now());
+  return Pollers().ReadsSince(aDataCentre, aGeneration, m_node.Now());
 }
 
 std::set<std::string>
@@ -293,7 +293,7 @@
 }
 
 void
-Peers::TellAll()
+Peers::SendToAll()
 {
   const std::vector<std::string> live = m_roster.LiveAddresses();
   SendTo({ live.begin(), live.end() });
@@ -307,14 +307,14 @@
 }
 
 void
-Peers::SetPartNews(std::vector<relay::RoleUpdate> aNews)
+Peers::PublishRoleUpdates(std::vector<relay::RoleUpdate> aNews)
 {
-  m_partNews = std::move(aNews);
-  TellAll();
+  m_ownRoleUpdates = std::move(aNews);
+  SendToAll();
 }
 
 void
-Peers::SetEndings(std::vector<membership::CrashDigest> aEndings,
+Peers::SetCrashes(std::vector<membership::CrashDigest> aEndings,
                   std::optional<std::uint64_t> aHeldCalls)
 {
   m_crashes = std::move(aEndings);
@@ -322,7 +322,7 @@
 }
 
 Duration
-Peers::NewsFor() const
+Peers::AnnouncementTime() const
 {
   return m_roster.HeartbeatInterval() * kTellNewsTimes;
 }
@@ -344,7 +344,7 @@
 }
 
 std::optional<std::string>
-Peers::PickHoldingOther(std::uint64_t aHeldCalls) const
+Peers::PickPeerWithOtherQuarantine(std::uint64_t aHeldCalls) const
 {
   return PickPeer([aHeldCalls](const membership::Heartbeat& aPeer) {
     return aPeer.m_quarantineFingerprint &&
@@ -353,7 +353,7 @@
 }
 
 std::optional<std::string>
-Peers::PickHoldingAny() const
+Peers::PickPeerWithQuarantine() const
 {
   return PickPeer([](const membership::Heartbeat& aPeer) {
     return aPeer.m_quarantineFingerprint.has_value();
@@ -363,15 +363,15 @@
 void
 Peers::NoteLeaving(const UpstreamIncarnation& aUpstream)
 {
-  if (m_news.NoteListed(aUpstream)) {
-    TellAll();
+  if (m_leavingAnnouncements.NoteListed(aUpstream)) {
+    SendToAll();
   }
 }
 
 void
 Peers::NoteGone(const std::string& aUpstream)
 {
-  m_news.NoteGone(aUpstream);
+  m_leavingAnnouncements.NoteGone(aUpstream);
 }
 
 void
@@ -396,7 +396,7 @@
     TellStoreView(*heartbeat->m_store);
   }
   if (!heartbeat->m_crashes.empty()) {
-    m_endingsTold.emit(heartbeat->m_crashes);
+    m_crashesReported.emit(heartbeat->m_crashes);
   }
   m_counted.insert(heartbeat->m_instance);
   TakeLoads(*heartbeat);
@@ -446,7 +446,7 @@
 {
   // If other instances still read the store, it is available and only that peer
   // is cut off, so upstreams removed from the list have not expired.
-  aView.m_lost = aView.m_lost && !Duty().HearsWorkingPoller(m_node.Now());
+  aView.m_lost = aView.m_lost && !Pollers().HearsWorkingPoller(m_node.Now());
   m_storeViews.emit(aView);
   m_generations.Note(std::max(aView.m_config, aView.m_members).m_generation,
                      "a peer");
@@ -504,7 +504,7 @@
     return;
   }
   const UpstreamIncarnation listed = member->Incarnation();
-  if (m_news.NoteFromPeer(aUpstream, &listed)) {
+  if (m_leavingAnnouncements.NoteFromPeer(aUpstream, &listed)) {
     m_leaves.emit(aUpstream);
   }
 }
--- a/packages/entry/src/Peers.h
+++ b/packages/entry/src/Peers.h
@@ -41,23 +41,24 @@
   void SetState(bool aReady, bool aLeaving);
   /** Sets the role updates that this instance knows before the list shows them.
    * Sends them at once and with each heartbeat. */
-  void SetPartNews(std::vector<relay::RoleUpdate> aNews);
+  void PublishRoleUpdates(std::vector<relay::RoleUpdate> aNews);
   /** Sets the recent crashes of upstreams during calls that this instance saw,
    * and the fingerprint of the calls that it has quarantined (std::nullopt
    * while it has not learned them). Both are sent with each heartbeat. */
-  void SetEndings(std::vector<membership::CrashDigest> aEndings,
+  void SetCrashes(std::vector<membership::CrashDigest> aEndings,
                   std::optional<std::uint64_t> aHeldCalls);
   /** How long an update must be announced so that each peer of the own data
    * centre receives it several times. */
-  Duration NewsFor() const;
+  Duration AnnouncementTime() const;
   /** Sends a heartbeat of this instance to all live instances at once. */
-  void TellAll();
+  void SendToAll();
   /** Returns IP:PORT of a live instance whose fingerprint of quarantined calls
    * differs from `aHeldCalls`; std::nullopt if there is none. */
-  std::optional<std::string> PickHoldingOther(std::uint64_t aHeldCalls) const;
+  std::optional<std::string> PickPeerWithOtherQuarantine(
+    std::uint64_t aHeldCalls) const;
   /** Returns IP:PORT of a live instance that has learned which calls are
    * quarantined; std::nullopt if there is none. */
-  std::optional<std::string> PickHoldingAny() const;
+  std::optional<std::string> PickPeerWithQuarantine() const;
   /** Returns the rank of this instance among the live ones, in an order that
    * depends on the topic. */
   std::size_t Rank(std::string_view aTopic) const
@@ -103,9 +104,9 @@
   }
   /** Emitted when another instance reports crashes of upstreams during calls.
    */
-  sigc::signal<void(std::span<const membership::CrashDigest>)>& SignalEndings()
+  sigc::signal<void(std::span<const membership::CrashDigest>)>& SignalCrashes()
   {
-    return m_endingsTold;
+    return m_crashesReported;
   }
   /** Emitted when another instance announces that a listed upstream is leaving.
    */
@@ -115,7 +116,7 @@
   }
 
 private:
-  membership::StorePollers Duty() const;
+  membership::StorePollers Pollers() const;
   void TellStoreView(membership::StoreView aView);
   void Handle(const membership::RosterEvent& aEvent);
   void OnDatagram(std::string_view aBytes);
@@ -125,7 +126,7 @@
     const std::function<bool(const membership::Heartbeat&)>& aIs) const;
   void SendTo(const std::set<std::string>& aAddresses);
   /** Builds the heartbeat of this instance without loads. */
-  membership::Heartbeat Own() const;
+  membership::Heartbeat OwnHeartbeat() const;
   membership::Heartbeat WithLoads(
     std::span<const relay::PeerLoad> aLoads) const;
   void Send(const membership::Heartbeat& aHeartbeat,
@@ -154,9 +155,9 @@
   std::uint64_t m_incarnation;
   bool m_ready = false;
   bool m_leaving = false;
-  relay::LeavingUpstreams m_news;
+  relay::LeavingUpstreams m_leavingAnnouncements;
   membership::StoreView m_storeView;
-  std::vector<relay::RoleUpdate> m_partNews;
+  std::vector<relay::RoleUpdate> m_ownRoleUpdates;
   std::vector<membership::CrashDigest> m_crashes;
   std::optional<std::uint64_t> m_quarantineFingerprint;
   std::set<std::string> m_counted; ///< Instances whose loads are counted.
@@ -173,7 +174,8 @@
   bool m_hasListed = false;
   sigc::signal<void(bool)> m_listed;
   sigc::signal<void(const UpstreamIncarnation&)> m_leaves;
-  sigc::signal<void(std::span<const membership::CrashDigest>)> m_endingsTold;
+  sigc::signal<void(std::span<const membership::CrashDigest>)>
+    m_crashesReported;
   sigc::signal<void(const membership::StoreView&)> m_storeViews;
 };
 
--- a/packages/entry/src/QuarantineShare.cpp
+++ b/packages/entry/src/QuarantineShare.cpp
@@ -68,7 +68,7 @@
 QuarantineShare::Start()
 {
   m_began = m_node.Now();
-  m_peers.SignalEndings().connect(
+  m_peers.SignalCrashes().connect(
     [this](std::span<const membership::CrashDigest> aEndings) {
       TakeTold(aEndings);
     });
@@ -76,7 +76,7 @@
     m_listed = true;
     m_hasOthers = aAny;
   });
-  m_generations.SignalRisen().connect(
+  m_generations.SignalNewGeneration().connect(
     [this](StoreGeneration) { m_written = 0; });
   m_peerRows.Serve(kKey, [this](StorePosition) { return Slice(); });
 }
@@ -104,13 +104,13 @@
     m_news.push_back({ m_node.Now(), ending });
   }
   TellNews();
-  m_peers.TellAll();
+  m_peers.SendToAll();
 }
 
 void
 QuarantineShare::TellNews()
 {
-  const Instant since = m_node.Now() - m_peers.NewsFor();
+  const Instant since = m_node.Now() - m_peers.AnnouncementTime();
   while (!m_news.empty() && m_news.front().m_at < since) {
     m_news.pop_front();
   }
@@ -121,7 +121,7 @@
     }
     told.push_back(DigestFor(news.m_record));
   }
-  m_peers.SetEndings(std::move(told),
+  m_peers.SetCrashes(std::move(told),
                      m_known ? std::optional(m_quarantine.Fingerprint())
                              : std::nullopt);
 }
@@ -172,8 +172,8 @@
     return;
   }
   const std::uint64_t own = m_quarantine.Fingerprint();
-  const auto peer =
-    m_known ? m_peers.PickHoldingOther(own) : m_peers.PickHoldingAny();
+  const auto peer = m_known ? m_peers.PickPeerWithOtherQuarantine(own)
+                            : m_peers.PickPeerWithQuarantine();
   const bool differed = std::exchange(m_differed, peer.has_value());
   if (peer && (!m_known || differed)) {
     AskPeer(*peer);
--- a/packages/entry/src/RelayCall.cpp
+++ b/packages/entry/src/RelayCall.cpp
@@ -279,7 +279,7 @@
   SendTerms terms;
   terms.m_readOnly = true;
   if (const relay::Member* donor = m_node.m_fleet.Find(m_place.m_fetchFrom)) {
-    terms.m_fetchAddress = donor->m_address;
+    terms.m_transferSourceAddress = donor->m_address;
   }
   Send(aAction.m_attempt, *reader, std::move(terms));
 }
@@ -307,7 +307,7 @@
   if (!aAction.m_handle.empty()) {
     const relay::Member* reader = m_node.m_fleet.Find(aAction.m_prefillEngine);
     if (reader != nullptr) {
-      terms.m_readerAddress = reader->m_address;
+      terms.m_prefillAddress = reader->m_address;
       terms.m_handle = aAction.m_handle;
     }
   }
--- a/packages/entry/src/PartKeeper.cpp
+++ b/packages/entry/src/RoleReconciler.cpp
@@ -1,4 +1,4 @@
-#include "PartKeeper.h"
+#include "RoleReconciler.h"
 
 #include <algorithm>
 #include <cmath>
@@ -17,7 +17,7 @@
  * engines cannot prefill without pausing their output streams for too long, so
  * that their prefill is disaggregated. Instances that start later read this
  * row. */
-constexpr const char* kFoundKey = "found/apart";
+constexpr const char* kDisaggregatedKey = "found/apart";
 constexpr Duration kTick{ 50 };
 /** Number of instances that try to acquire a free lease; the others read it
  * once. */
@@ -26,7 +26,7 @@
  * yet received heartbeats from the others, and when hundreds start at once each
  * would try. The value is twice the longest time between two heartbeats of a
  * peer in the same data centre. */
-constexpr Duration kHearOthers{ 500 };
+constexpr Duration kMinAgeToContend{ 500 };
 constexpr Duration kStoreTimeout{ 1000 };
 /** Engines answer within milliseconds; later answers count as lost. */
 constexpr Duration kEngineTimeout{ 600 };
@@ -54,9 +54,9 @@
 
 } // namespace
 
-PartKeeper::PartKeeper(EntryNode& aNode,
-                       StoreGenerations& aGenerations,
-                       Peers& aPeers)
+RoleReconciler::RoleReconciler(EntryNode& aNode,
+                               StoreGenerations& aGenerations,
+                               Peers& aPeers)
   : m_node(aNode)
   , m_generations(aGenerations)
   , m_peers(aPeers)
@@ -69,26 +69,27 @@
 }
 
 void
-PartKeeper::Start()
+RoleReconciler::Start()
 {
   m_began = m_node.Now();
-  m_generations.SignalRisen().connect([this](StoreGeneration aGeneration) {
-    HandleLease(authority::LeaseGeneration{ aGeneration });
-    // The new generation of the store may lack the row, so the next lease
-    // holder writes it again.
-    m_written.clear();
-  });
+  m_generations.SignalNewGeneration().connect(
+    [this](StoreGeneration aGeneration) {
+      HandleLease(authority::LeaseGeneration{ aGeneration });
+      // The new generation of the store may lack the row, so the next lease
+      // holder writes it again.
+      m_storedServices.clear();
+    });
   m_tick = m_node.m_loop->Every(kTick, [this] { Tick(); });
 }
 
 void
-PartKeeper::NoteGone(const std::string& aEngine)
+RoleReconciler::NoteGone(const std::string& aEngine)
 {
-  HandleDesk(relay::EngineGone{ aEngine });
+  HandleRoleChangeEvent(relay::EngineGone{ aEngine });
 }
 
 void
-PartKeeper::Tick()
+RoleReconciler::Tick()
 {
   const bool hasEngines =
     m_node.m_routes != nullptr &&
@@ -101,16 +102,16 @@
     return;
   }
   const bool contends = !m_node.m_stop.HasBegun() && m_peers.HasListed() &&
-                        m_node.Now() - m_began >= kHearOthers &&
+                        m_node.Now() - m_began >= kMinAgeToContend &&
                         m_peers.Rank(kScope) < kContenders;
   HandleLease(authority::LeaseTick{ contends });
   const bool mayOrder =
     !m_node.m_stop.HasBegun() && m_lease.HasAuthority(m_node.Now());
-  HandleDesk(relay::RoleChangeTick{ mayOrder });
+  HandleRoleChangeEvent(relay::RoleChangeTick{ mayOrder });
   // Does not plan while listed engines are in a grace period after their rows
   // expired: a plan would replace engines that may still be running.
   if (mayOrder) {
-    KeepFound();
+    StoreDisaggregatedServices();
   }
   if (mayOrder && !m_node.m_fleet.HasMemberInGracePeriod()) {
     Plan();
@@ -119,34 +120,35 @@
 }
 
 double
-PartKeeper::NeededNow(const relay::Service& aService, ServicePlan& aPlan)
+RoleReconciler::SmoothedNeed(const relay::Service& aService, ServicePlan& aPlan)
 {
   const Instant now = m_node.Now();
   const double needed =
     m_node.m_fleet.DecodeEnginesNeeded(aService.m_name, *aService.m_engine);
   const auto age = static_cast<double>((now - aPlan.m_at).count());
-  aPlan.m_held =
-    std::max(needed, aPlan.m_held * std::exp(-age / kNeedMemoryMs));
+  aPlan.m_smoothedNeed =
+    std::max(needed, aPlan.m_smoothedNeed * std::exp(-age / kNeedMemoryMs));
   aPlan.m_at = now;
-  return aPlan.m_held;
+  return aPlan.m_smoothedNeed;
 }
 
 void
-PartKeeper::PlanService(const relay::Service& aService,
-                        std::vector<relay::EngineRoleChange>& aChanges)
+RoleReconciler::PlanService(const relay::Service& aService,
+                            std::vector<relay::EngineRoleChange>& aChanges)
 {
   if (m_node.m_fleet.AllowsColocatedPrefill(aService.m_name)) {
     m_plans.erase(aService.m_name);
     return; // Decode engines also prefill fast enough, so roles need no plan.
   }
   ServicePlan& plan = m_plans[aService.m_name];
-  const double needed = NeededNow(aService, plan);
+  const double needed = SmoothedNeed(aService, plan);
   std::vector<relay::PlannedEngine> engines =
     m_node.m_fleet.EnginesOf(aService.m_name);
   for (relay::PlannedEngine& engine : engines) {
     const std::optional<relay::UpstreamRole> target =
-      m_desk.TargetOf(engine.m_id);
-    engine.m_changes = target.has_value() || m_desk.IsLeftAlone(engine.m_id);
+      m_roleChanges.TargetOf(engine.m_id);
+    engine.m_changes =
+      target.has_value() || m_roleChanges.IsLeftAlone(engine.m_id);
     engine.m_role = target.value_or(engine.m_role);
   }
   for (const relay::EngineRoleChange& change :
@@ -163,7 +165,7 @@
 }
 
 void
-PartKeeper::Plan()
+RoleReconciler::Plan()
 {
   relay::ChangesWanted wanted;
   for (const relay::Service& service : m_node.m_routes->Config().m_services) {
@@ -172,12 +174,12 @@
     }
   }
   if (!wanted.m_changes.empty()) {
-    HandleDesk(wanted);
+    HandleRoleChangeEvent(wanted);
   }
 }
 
 void
-PartKeeper::HandleLease(const authority::LeaseEvent& aEvent)
+RoleReconciler::HandleLease(const authority::LeaseEvent& aEvent)
 {
   for (const authority::LeaseAction& action :
        m_lease.Handle(aEvent, m_node.Now())) {
@@ -186,16 +188,16 @@
 }
 
 void
-PartKeeper::HandleDesk(const relay::RoleChangeEvent& aEvent)
+RoleReconciler::HandleRoleChangeEvent(const relay::RoleChangeEvent& aEvent)
 {
   for (const relay::RoleChangeAction& action :
-       m_desk.Handle(aEvent, m_node.Now())) {
+       m_roleChanges.Handle(aEvent, m_node.Now())) {
     std::visit([this](const auto& aTyped) { Do(aTyped); }, action);
   }
 }
 
 void
-PartKeeper::Do(const authority::ReadLease&)
+RoleReconciler::Do(const authority::ReadLease&)
 {
   StoreRead read;
   read.m_table = m_node.m_dialect.m_leaseTable;
@@ -217,8 +219,8 @@
       event.m_fence = { table::ReadStatus::Ok,
                         { authority::FenceKey(kScope), 0, {} } };
       for (const relay::FollowedRow& row : page->m_rows) {
-        if (row.m_key == kFoundKey) {
-          Recall(row.m_value);
+        if (row.m_key == kDisaggregatedKey) {
+          LoadDisaggregatedServices(row.m_value);
         }
         for (table::ReadResult* wanted : { &event.m_lease, &event.m_fence }) {
           if (row.m_key == wanted->m_row.m_key) {
@@ -234,12 +236,12 @@
 }
 
 void
-PartKeeper::Recall(const std::string& aServices)
+RoleReconciler::LoadDisaggregatedServices(const std::string& aServices)
 {
-  if (aServices == m_written) {
+  if (aServices == m_storedServices) {
     return;
   }
-  m_written = aServices;
+  m_storedServices = aServices;
   std::vector<std::uint32_t> out;
   std::istringstream text(aServices);
   for (std::uint32_t service = 0; text >> service;) {
@@ -252,7 +254,7 @@
 }
 
 void
-PartKeeper::KeepFound()
+RoleReconciler::StoreDisaggregatedServices()
 {
   std::string found;
   for (const relay::Service& service : m_node.m_routes->Config().m_services) {
@@ -260,12 +262,12 @@
       found += std::to_string(relay::Fleet::ShortHash(service.m_name)) + " ";
     }
   }
-  if (found == m_written || m_writing) {
+  if (found == m_storedServices || m_writing) {
     return;
   }
   StoreCommit commit;
   commit.m_table = m_node.m_dialect.m_leaseTable;
-  commit.m_transaction.m_puts.push_back({ kFoundKey, found });
+  commit.m_transaction.m_puts.push_back({ kDisaggregatedKey, found });
   net::HttpRequest request = m_node.m_dialect.m_writeStoreCommit(commit);
   request.m_address = m_node.m_settings.m_store;
   request.m_timeout = kStoreTimeout;
@@ -277,14 +279,14 @@
                        "services found to need disaggregated prefill");
     if (m_node.m_dialect.m_readStoreCommit(aResponse) ==
         table::CommitResult::Committed) {
-      m_written = found;
+      m_storedServices = found;
     }
   };
   m_node.m_http->Send(request, std::move(callbacks));
 }
 
 void
-PartKeeper::Do(const authority::WriteLease& aAction)
+RoleReconciler::Do(const authority::WriteLease& aAction)
 {
   net::HttpRequest request = m_node.m_dialect.m_writeStoreCommit(
     { m_node.m_dialect.m_leaseTable, aAction.m_transaction });
@@ -301,7 +303,7 @@
 }
 
 void
-PartKeeper::Do(const authority::AuthorityGained& aAction)
+RoleReconciler::Do(const authority::AuthorityGained& aAction)
 {
   m_node.m_log->Write(
     observe::LogLevel::Info,
@@ -311,7 +313,7 @@
 }
 
 void
-PartKeeper::Do(const authority::AuthorityLost&)
+RoleReconciler::Do(const authority::AuthorityLost&)
 {
   m_node.m_log->Write(observe::LogLevel::Info,
                       "lease-lost",
@@ -319,13 +321,13 @@
 }
 
 void
-PartKeeper::Do(const relay::AskReport& aAction)
+RoleReconciler::Do(const relay::AskReport& aAction)
 {
   const std::string engine = aAction.m_engine;
   const relay::Member* member = m_node.m_fleet.Find(engine);
   if (member == nullptr) {
     m_node.m_loop->Defer(
-      [this, engine] { HandleDesk(relay::EngineGone{ engine }); });
+      [this, engine] { HandleRoleChangeEvent(relay::EngineGone{ engine }); });
     return;
   }
   net::HttpRequest request =
@@ -334,31 +336,32 @@
   request.m_connectTimeout = kEngineTimeout;
   net::HttpCallbacks callbacks;
   callbacks.m_done = [this, engine](const net::HttpResponse& aResponse) {
-    HandleDesk(
+    HandleRoleChangeEvent(
       relay::ReportCame{ engine, m_node.m_dialect.m_readReport(aResponse) });
   };
   m_node.m_http->Send(request, std::move(callbacks));
 }
 
 void
-PartKeeper::Do(const relay::SendRoleOrder& aAction)
+RoleReconciler::Do(const relay::SendRoleOrder& aAction)
 {
   const std::string engine = aAction.m_engine;
   const relay::Member* member = m_node.m_fleet.Find(engine);
   if (member == nullptr || !m_lease.HasAuthority(m_node.Now())) {
     m_node.m_loop->Defer([this, engine] {
-      HandleDesk(relay::OrderAnswered{ engine, relay::OrderAnswer::Refused });
+      HandleRoleChangeEvent(
+        relay::OrderAnswered{ engine, relay::OrderAnswer::Refused });
     });
     return;
   }
-  PartOrder order;
+  EngineRoleOrder order;
   order.m_address = member->m_address;
   order.m_engine = engine;
   order.m_to = aAction.m_to;
   order.m_expectedOrders = aAction.m_expectedOrders;
   order.m_holder = m_node.m_settings.m_instance;
   order.m_fencing = m_lease.Fencing();
-  net::HttpRequest request = m_node.m_dialect.m_writePartOrder(order);
+  net::HttpRequest request = m_node.m_dialect.m_writeRoleOrder(order);
   // A fresh connection avoids an order that waits on an unresponsive connection
   // and goes out later.
   request.m_fresh = true;
@@ -371,7 +374,7 @@
       "order-answered",
       { { "upstream", engine },
         { "status", std::int64_t{ aResponse.m_head.m_status } } });
-    HandleDesk(relay::OrderAnswered{
+    HandleRoleChangeEvent(relay::OrderAnswered{
       engine, m_node.m_dialect.m_readOrderAnswer(aResponse) });
   };
   m_node.m_metrics.Count("orders_total");
@@ -386,7 +389,7 @@
 }
 
 void
-PartKeeper::Do(const relay::AnnounceRoleUpdates&)
+RoleReconciler::Do(const relay::AnnounceRoleUpdates&)
 {
   // Updates are sent once per tick, because a message to all instances costs a
   // millisecond.
@@ -394,19 +397,19 @@
 }
 
 void
-PartKeeper::AnnounceRoleUpdates()
+RoleReconciler::AnnounceRoleUpdates()
 {
   if (!std::exchange(m_newsChanged, false)) {
     return;
   }
-  const std::vector<relay::RoleUpdate> news = m_desk.RoleUpdates();
+  const std::vector<relay::RoleUpdate> news = m_roleChanges.RoleUpdates();
   std::vector<relay::MemberRoleUpdate> own;
   own.reserve(news.size());
   for (const relay::RoleUpdate& item : news) {
     own.push_back({ relay::Fleet::ShortHash(item.m_engine), item.m_role });
   }
   m_node.m_fleet.SetRoleUpdates(m_node.m_settings.m_instance, std::move(own));
-  m_peers.SetPartNews(news);
+  m_peers.PublishRoleUpdates(news);
 }
 
 } // namespace ridgeferry::entry
--- a/packages/entry/src/PartKeeper.h
+++ b/packages/entry/src/RoleReconciler.h
@@ -14,11 +14,13 @@
  * the lease of the whole deployment, plans roles and sends orders to engines;
  * the others apply the role updates that it announces. While no instance holds
  * the lease, engines keep their roles. Not thread-safe. */
-class PartKeeper
+class RoleReconciler
 {
 public:
   /** The arguments must outlive this object. */
-  PartKeeper(EntryNode& aNode, StoreGenerations& aGenerations, Peers& aPeers);
+  RoleReconciler(EntryNode& aNode,
+                 StoreGenerations& aGenerations,
+                 Peers& aPeers);
 
   void Start();
   /** Notes that an engine has been removed from the list of upstreams. */
@@ -31,14 +33,14 @@
                    std::vector<relay::EngineRoleChange>& aChanges);
   /** Restores the services that need disaggregated prefill. `aServices` is the
    * row's value: their hashes, separated by blanks. */
-  void Recall(const std::string& aServices);
+  void LoadDisaggregatedServices(const std::string& aServices);
   /** Writes the services that need disaggregated prefill to the store, if they
    * have changed. */
-  void KeepFound();
+  void StoreDisaggregatedServices();
   /** Sends the role updates to the other instances, if they have changed. */
   void AnnounceRoleUpdates();
   void HandleLease(const authority::LeaseEvent& aEvent);
-  void HandleDesk(const relay::RoleChangeEvent& aEvent);
+  void HandleRoleChangeEvent(const relay::RoleChangeEvent& aEvent);
   void Do(const authority::ReadLease& aAction);
   void Do(const authority::WriteLease& aAction);
   void Do(const authority::AuthorityGained& aAction);
@@ -52,21 +54,21 @@
   {
     relay::DecodePoolPlanner m_planner;
     /** Decaying maximum of the number of decode engines needed. */
-    double m_held = 0;
-    Instant m_at; ///< When `m_held` was last updated.
+    double m_smoothedNeed = 0;
+    Instant m_at; ///< When `m_smoothedNeed` was last updated.
   };
 
-  double NeededNow(const relay::Service& aService, ServicePlan& aPlan);
+  double SmoothedNeed(const relay::Service& aService, ServicePlan& aPlan);
 
   EntryNode& m_node;
   StoreGenerations& m_generations;
   Peers& m_peers;
   authority::Lease m_lease;
-  relay::RoleChangeController m_desk;
+  relay::RoleChangeController m_roleChanges;
   std::map<std::string, ServicePlan> m_plans; ///< Plans by name of service.
   /** Last known value of the store's row of services that need disaggregated
    * prefill. */
-  std::string m_written;
+  std::string m_storedServices;
   bool m_writing = false;
   bool m_newsChanged = false;
   Instant m_began;
--- a/packages/entry/src/StoreGenerations.cpp
+++ b/packages/entry/src/StoreGenerations.cpp
@@ -26,7 +26,8 @@
   if (aAnswer.m_end != net::HttpEnd::Complete) {
     return m_latest;
   }
-  const ToldGeneration told = m_node.m_dialect.m_readGeneration(aAnswer.m_head);
+  const AnnouncedGeneration told =
+    m_node.m_dialect.m_readGeneration(aAnswer.m_head);
   if (!told) {
     NoteUnreadable(told.error());
     return m_latest;
--- a/packages/entry/src/StoreGenerations.h
+++ b/packages/entry/src/StoreGenerations.h
@@ -24,7 +24,7 @@
   void Note(StoreGeneration aGeneration, std::string_view aFrom);
   StoreGeneration Latest() const { return m_latest; }
   /** Emitted when a generation later than all before is seen. */
-  sigc::signal<void(StoreGeneration)>& SignalRisen() { return m_risen; }
+  sigc::signal<void(StoreGeneration)>& SignalNewGeneration() { return m_risen; }
 
 private:
   void NoteUnreadable(const std::string& aTold);
--- a/packages/entry/src/StoreReader.cpp
+++ b/packages/entry/src/StoreReader.cpp
@@ -29,9 +29,10 @@
 {
   m_peers.Serve(
     m_kind, [this](StorePosition aAfter) { return m_follower.Since(aAfter); });
-  m_generations.SignalRisen().connect([this](StoreGeneration aGeneration) {
-    Handle(relay::GenerationSeen{ aGeneration });
-  });
+  m_generations.SignalNewGeneration().connect(
+    [this](StoreGeneration aGeneration) {
+      Handle(relay::GenerationSeen{ aGeneration });
+    });
 }
 
 void
@@ -59,7 +60,7 @@
 void
 StoreReader::Do(const relay::ReadTable& aAction)
 {
-  m_pagePatience = aAction.m_readTimeout;
+  m_pageTimeout = aAction.m_readTimeout;
   const Instant now = m_node.Now();
   if (!m_pages.empty() && now - m_pagesSince < kLongestPaging) {
     ReadNextPage();
@@ -83,7 +84,7 @@
   StoreRead read;
   read.m_table = m_table;
   read.m_fromKey = std::move(aFromKey);
-  Send(read, m_pagePatience);
+  Send(read, m_pageTimeout);
 }
 
 void
@@ -97,14 +98,14 @@
 }
 
 void
-StoreReader::Send(const StoreRead& aRead, Duration aPatience)
+StoreReader::Send(const StoreRead& aRead, Duration aTimeout)
 {
   m_node.m_metrics.Count("store_reads_total");
   net::HttpRequest request = m_node.m_dialect.m_writeStoreRead(aRead);
   request.m_address = m_node.m_settings.m_store;
-  request.m_timeout = aPatience;
+  request.m_timeout = aTimeout;
   request.m_connectTimeout = relay::TableFollower::kResponseMargin;
-  request.m_fresh = m_distrustsKept;
+  request.m_fresh = m_needsFreshConnection;
   net::HttpCallbacks callbacks;
   callbacks.m_done = [this, aRead](const net::HttpResponse& aResponse) {
     TakeAnswer(aRead, aResponse);
@@ -129,7 +130,7 @@
 }
 
 void
-StoreReader::SetDuty(bool aOnDuty, bool aByPlace)
+StoreReader::SetPolling(bool aOnDuty, bool aByPlace)
 {
   Handle(relay::PollingChanged{ aOnDuty, aByPlace });
 }
@@ -160,7 +161,7 @@
 StoreReader::Do(const relay::CancelRead&)
 {
   m_node.m_http->Cancel(m_call);
-  m_distrustsKept = true;
+  m_needsFreshConnection = true;
   m_node.m_log->Write(
     observe::LogLevel::Info,
     "store-read-made-again",
@@ -173,8 +174,8 @@
 StoreReader::TakeAnswer(const StoreRead& aRead,
                         const net::HttpResponse& aResponse)
 {
-  m_distrustsKept = aResponse.m_end != net::HttpEnd::Complete;
-  if (m_distrustsKept) {
+  m_needsFreshConnection = aResponse.m_end != net::HttpEnd::Complete;
+  if (m_needsFreshConnection) {
     const bool unsent = aResponse.m_end == net::HttpEnd::NotSent;
     Handle(
       relay::ReadFailed{ unsent ? "no connection" : "no complete answer" });
@@ -185,7 +186,9 @@
   std::visit(
     Overloaded{
       [&](StorePage& aPage) { TakePage(aRead, std::move(aPage), generation); },
-      [&](const StoreForgot&) { Handle(relay::HistoryLost{ generation }); },
+      [&](const StoreHistoryLost&) {
+        Handle(relay::HistoryLost{ generation });
+      },
       [&](const relay::ReadFailed& aFailed) { Handle(aFailed); },
     },
     answer);
@@ -235,13 +238,13 @@
 StoreReader::Do(const relay::ApplyRows& aAction)
 {
   if (aAction.m_positionBeforeCopy) {
-    TellCopy(aAction);
+    LogCopyRead(aAction);
   }
   m_rows.emit(aAction);
 }
 
 void
-StoreReader::TellCopy(const relay::ApplyRows& aRows)
+StoreReader::LogCopyRead(const relay::ApplyRows& aRows)
 {
   const StorePosition before = *aRows.m_positionBeforeCopy;
   const StorePosition now = m_follower.Position();
--- a/packages/entry/src/StoreReader.h
+++ b/packages/entry/src/StoreReader.h
@@ -31,7 +31,7 @@
    * the position up to which it has read this table. */
   void NotePeer(StorePosition aPosition, const membership::StoreView& aView);
   /** See `relay::PollingChanged`. */
-  void SetDuty(bool aOnDuty, bool aByPlace);
+  void SetPolling(bool aOnDuty, bool aByPlace);
   /** Notes that the list of instances has been read; `aAny` is true if it names
    * others. */
   void NotePeersListed(bool aAny);
@@ -50,14 +50,14 @@
   void Do(const relay::StoreBack& aAction);
   /** Returns a random time between 0 and `aMost`. */
   Duration Draw(Duration aMost);
-  void Send(const StoreRead& aRead, Duration aPatience);
+  void Send(const StoreRead& aRead, Duration aTimeout);
   void ReadPage(std::string aFromKey);
   void ReadNextPage();
   void TakeAnswer(const StoreRead& aRead, const net::HttpResponse& aResponse);
   void TakePage(const StoreRead& aRead,
                 StorePage aPage,
                 StoreGeneration aGeneration);
-  void TellCopy(const relay::ApplyRows& aRows);
+  void LogCopyRead(const relay::ApplyRows& aRows);
 
   EntryNode& m_node;
   StoreGenerations& m_generations;
@@ -70,11 +70,11 @@
   std::vector<relay::FollowedRow> m_pages;
   Instant m_pagesSince;
   StorePosition m_pagesPosition; ///< Store position of the first page.
-  Duration m_pagePatience{};     ///< Time-out for each page.
+  Duration m_pageTimeout{};      ///< Time-out for each page.
   net::HttpCallId m_call = 0;    ///< Id of the HTTP call that reads the store.
   /** True if the last read got no answer: other idle connections may be
    * unresponsive too, so the next read uses a fresh one. */
-  bool m_distrustsKept = false;
+  bool m_needsFreshConnection = false;
   net::Watch m_retry;
   net::Watch m_ask; ///< Timer until a peer is asked.
   sigc::signal<void(const relay::ApplyRows&)> m_rows;
--- a/packages/entry/tests/EntrySettingsTest.cpp
+++ b/packages/entry/tests/EntrySettingsTest.cpp
@@ -52,7 +52,7 @@
 class BadEntrySettingsTest : public ::testing::TestWithParam<BadSettingsCase>
 {};
 
-TEST_P(BadEntrySettingsTest, IsToldWithItsPlace)
+TEST_P(BadEntrySettingsTest, IsReportedWithItsPointer)
 {
   Json document = GoodSettings();
   document[Json::json_pointer(GetParam().m_pointer)] =
@@ -84,7 +84,7 @@
     BadSettingsCase{ "UnknownField", "/colour", "1" }),
   [](const auto& aInfo) { return std::string(aInfo.param.m_name); });
 
-TEST(EntrySettingsTest, AFileThatIsNoJsonOrNotThereIsTold)
+TEST(EntrySettingsTest, ReportsAFileThatIsNotJsonOrMissing)
 {
   EXPECT_EQ(FormatSettingsError(ParseEntrySettings("x", "s.json").error()),
             "s.json: the file is not JSON\n");
