--- a/packages/entry/src/Entry.cpp
+++ b/packages/entry/src/Entry.cpp
@@ -134,7 +134,7 @@
 Entry::Impl::IsReady() const
 {
   return !m_node.m_stop.HasBegun() && m_node.m_routes != nullptr &&
-         m_members->HasRead() && m_quarantine->HasAsked();
+         m_members->HasRead() && m_quarantine->IsReadyForCalls();
 }
 
 bool
--- a/packages/entry/src/QuarantineService.cpp
+++ b/packages/entry/src/QuarantineService.cpp
@@ -12,10 +12,10 @@
 /** A gap between two ticks from which on this process counts as having been
  * suspended. Connections that broke meanwhile may have timed out, and are no
  * evidence of a crash of their upstreams. */
-constexpr Duration kStoodStill{ 1000 };
+constexpr Duration kSuspendedGap{ 1000 };
 /** Least time between two trial runs of a call whose quarantine is doubted.
  * Within this time a trial run has either succeeded or crashed its upstream. */
-constexpr Duration kTryEvery{ 10'000 };
+constexpr Duration kTrialInterval{ 10'000 };
 /** Time-out of a connection probe. The machine of an upstream normally answers
  * within milliseconds, whether the upstream runs or not. */
 constexpr Duration kProbeTimeout{ 300 };
@@ -24,7 +24,7 @@
 constexpr Duration kProbeAgain{ 500 };
 /** Longest time after the start for which this instance accepts no calls
  * because it has not yet learned which calls its peers have quarantined. */
-constexpr Duration kLongestAsk{ 2000 };
+constexpr Duration kMaxStartDelay{ 2000 };
 
 std::string_view
 NameOf(quarantine::Change aChange)
@@ -57,7 +57,7 @@
             m_quarantine,
             [this](const quarantine::CrashRecord& aEnding,
                    Duration aAge,
-                   std::string_view aFrom) { Take(aEnding, aAge, aFrom); })
+                   std::string_view aFrom) { AddRecord(aEnding, aAge, aFrom); })
 {
 }
 
@@ -74,10 +74,10 @@
 }
 
 bool
-QuarantineService::HasAsked() const
+QuarantineService::IsReadyForCalls() const
 {
   return !m_node.m_settings.m_quarantines || m_share.IsKnown() ||
-         m_node.Now() - m_began >= kLongestAsk;
+         m_node.Now() - m_began >= kMaxStartDelay;
 }
 
 bool
@@ -103,15 +103,15 @@
 }
 
 bool
-QuarantineService::MayTry(const quarantine::CallDigest& aCall)
+QuarantineService::AllowTrialRun(const quarantine::CallDigest& aCall)
 {
   const Instant now = m_node.Now();
   if (!m_quarantine.IsDoubted(aCall, now) ||
       m_peers.Rank(quarantine::FormatDigest(aCall)) != 0) {
     return false;
   }
-  const auto [tried, isFirst] = m_triedAt.try_emplace(aCall, now);
-  const bool may = isFirst || now - tried->second >= kTryEvery;
+  const auto [tried, isFirst] = m_trialStartedAt.try_emplace(aCall, now);
+  const bool may = isFirst || now - tried->second >= kTrialInterval;
   if (may) {
     tried->second = now;
     m_node.m_log->Write(observe::LogLevel::Info,
@@ -167,12 +167,13 @@
       // Deferred, since handling the result destroys the probe, whose functions
       // are still on the stack.
       m_node.m_loop->Defer(
-        [this, upstream, aReach] { TakeReach(upstream, aReach); });
+        [this, upstream, aReach] { HandleProbeResult(upstream, aReach); });
     });
 }
 
 void
-QuarantineService::TakeReach(const std::string& aUpstream, net::Reach aReach)
+QuarantineService::HandleProbeResult(const std::string& aUpstream,
+                                     net::Reach aReach)
 {
   const auto found = m_probes.find(aUpstream);
   if (found == m_probes.end()) {
@@ -230,7 +231,7 @@
   std::vector<quarantine::CrashRecord> endings;
   for (const auto& [call, brokeAt] : m_broken.NoteEnded(aUpstream)) {
     endings.push_back({ call, incarnation });
-    Take(endings.back(), m_node.Now() - brokeAt, aFrom);
+    AddRecord(endings.back(), m_node.Now() - brokeAt, aFrom);
   }
   if (endings.empty()) {
     return;
@@ -242,7 +243,7 @@
     { { "upstream", aUpstream.m_id },
       { "from", std::string(aFrom) },
       { "calls", static_cast<std::int64_t>(endings.size()) } });
-  m_share.Tell(std::move(endings));
+  m_share.Announce(std::move(endings));
 }
 
 void
@@ -261,13 +262,13 @@
       { "call", quarantine::FormatDigest(aSend.m_call) },
       { "upstream", aSend.m_upstream },
       { "ends", static_cast<std::int64_t>(cleared.size()) } });
-  m_share.Tell(std::move(cleared));
+  m_share.Announce(std::move(cleared));
 }
 
 void
-QuarantineService::Take(const quarantine::CrashRecord& aEnding,
-                        Duration aAge,
-                        std::string_view aFrom)
+QuarantineService::AddRecord(const quarantine::CrashRecord& aEnding,
+                             Duration aAge,
+                             std::string_view aFrom)
 {
   const quarantine::Change change =
     m_quarantine.Note(aEnding, m_node.Now(), aAge);
@@ -301,11 +302,11 @@
 QuarantineService::Tick()
 {
   const Instant now = m_node.Now();
-  if (now - std::exchange(m_lastTick, now) >= kStoodStill) {
+  if (now - std::exchange(m_lastTick, now) >= kSuspendedGap) {
     m_broken.ForgetAll();
   }
   m_broken.Tick(now);
-  std::erase_if(m_triedAt, [this](const auto& aEntry) {
+  std::erase_if(m_trialStartedAt, [this](const auto& aEntry) {
     return !m_quarantine.IsQuarantined(aEntry.first);
   });
   for (const quarantine::CallDigest& call : m_quarantine.Tick(now)) {
--- a/packages/entry/src/QuarantineService.h
+++ b/packages/entry/src/QuarantineService.h
@@ -31,7 +31,7 @@
   /** Returns whether this instance may accept calls: it has learned which calls
    * are quarantined, or 2 s have passed since the start without an answer. Also
    * true if the quarantine is switched off. */
-  bool HasAsked() const;
+  bool IsReadyForCalls() const;
 
   /** Returns whether any call is suspected or quarantined, or has a broken run.
    * Otherwise callers need not compute digests of calls. */
@@ -43,7 +43,7 @@
   /** Returns whether a quarantined call is to run all the same, as a trial that
    * shows whether its quarantine is justified. If so, the trial run counts as
    * started. */
-  bool MayTry(const quarantine::CallDigest& aCall);
+  bool AllowTrialRun(const quarantine::CallDigest& aCall);
   /** Returns whether the call may be sent to a further upstream without a new
    * request of its caller. Calls with two or more suspected crashes may not. */
   bool MayRepeat(const quarantine::CallDigest& aCall) const;
@@ -89,16 +89,16 @@
 
   void Tick();
   void Probe(const relay::Member& aMember);
-  void TakeReach(const std::string& aUpstream, net::Reach aReach);
+  void HandleProbeResult(const std::string& aUpstream, net::Reach aReach);
   /** Records the crash of this incarnation for all calls with a broken run on
    * it, and reports these crash records to the peers. `aFrom` names the
    * evidence in the log. */
   void NoteEnded(const UpstreamIncarnation& aUpstream, std::string_view aFrom);
   /** Adds one crash record, seen first `aAge` ago, to the quarantine, and logs
    * the change. `aFrom` names its source in the log. */
-  void Take(const quarantine::CrashRecord& aEnding,
-            Duration aAge,
-            std::string_view aFrom);
+  void AddRecord(const quarantine::CrashRecord& aEnding,
+                 Duration aAge,
+                 std::string_view aFrom);
 
   EntryNode& m_node;
   Peers& m_peers;
@@ -106,7 +106,7 @@
   quarantine::BrokenRuns m_broken;
   QuarantineShare m_share;
   /** Start of the last trial run of each quarantined call. */
-  std::map<quarantine::CallDigest, Instant> m_triedAt;
+  std::map<quarantine::CallDigest, Instant> m_trialStartedAt;
   std::map<std::string, ProbeOf> m_probes; ///< By upstream.
   Instant m_began;
   Instant m_lastTick;
--- a/packages/entry/src/QuarantineShare.cpp
+++ b/packages/entry/src/QuarantineShare.cpp
@@ -23,7 +23,7 @@
 constexpr Duration kStoreAgain{ 500 };
 /** Most crash records in one heartbeat, about 30 bytes each. They suffice for
  * the crashes of a few upstreams. */
-constexpr std::size_t kMostNews = 20;
+constexpr std::size_t kMaxRecordsInHeartbeat = 20;
 /** Most crash records that are written to the store, about 110 bytes each. The
  * bound keeps the row below the size limit of the store. */
 constexpr std::size_t kMostWritten = 400;
@@ -54,13 +54,13 @@
                                  Peers& aPeers,
                                  PeerRows& aPeerRows,
                                  const quarantine::Quarantine& aQuarantine,
-                                 Take aTake)
+                                 RecordHandler aOnRecord)
   : m_node(aNode)
   , m_generations(aGenerations)
   , m_peers(aPeers)
   , m_peerRows(aPeerRows)
   , m_quarantine(aQuarantine)
-  , m_take(std::move(aTake))
+  , m_onRecord(std::move(aOnRecord))
 {
 }
 
@@ -70,7 +70,7 @@
   m_began = m_node.Now();
   m_peers.SignalCrashes().connect(
     [this](std::span<const membership::CrashDigest> aEndings) {
-      TakeTold(aEndings);
+      AddReportedRecords(aEndings);
     });
   m_peers.SignalListed().connect([this](bool aAny) {
     m_listed = true;
@@ -84,16 +84,16 @@
 void
 QuarantineShare::Tick()
 {
-  TellNews();
+  UpdateHeartbeat();
   AskPeers();
   WriteStore();
 }
 
 void
-QuarantineShare::Tell(std::vector<quarantine::CrashRecord> aEndings)
+QuarantineShare::Announce(std::vector<quarantine::CrashRecord> aEndings)
 {
   // Calls with the most crashes come first, as a heartbeat has room for
-  // `kMostNews` records only.
+  // `kMaxRecordsInHeartbeat` records only.
   std::stable_sort(aEndings.begin(),
                    aEndings.end(),
                    [this](const auto& aLeft, const auto& aRight) {
@@ -101,22 +101,23 @@
                             m_quarantine.Ends(aRight.m_call);
                    });
   for (const quarantine::CrashRecord& ending : aEndings) {
-    m_news.push_back({ m_node.Now(), ending });
+    m_announcedRecords.push_back({ m_node.Now(), ending });
   }
-  TellNews();
+  UpdateHeartbeat();
   m_peers.SendToAll();
 }
 
 void
-QuarantineShare::TellNews()
+QuarantineShare::UpdateHeartbeat()
 {
   const Instant since = m_node.Now() - m_peers.AnnouncementTime();
-  while (!m_news.empty() && m_news.front().m_at < since) {
-    m_news.pop_front();
+  while (!m_announcedRecords.empty() &&
+         m_announcedRecords.front().m_at < since) {
+    m_announcedRecords.pop_front();
   }
   std::vector<membership::CrashDigest> told;
-  for (const News& news : m_news) {
-    if (told.size() == kMostNews) {
+  for (const AnnouncedRecord& news : m_announcedRecords) {
+    if (told.size() == kMaxRecordsInHeartbeat) {
       break;
     }
     told.push_back(DigestFor(news.m_record));
@@ -127,15 +128,17 @@
 }
 
 void
-QuarantineShare::TakeTold(std::span<const membership::CrashDigest> aEndings)
+QuarantineShare::AddReportedRecords(
+  std::span<const membership::CrashDigest> aEndings)
 {
   for (const membership::CrashDigest& digest : aEndings) {
-    m_take(EndingFrom(digest), {}, kFromPeer);
+    m_onRecord(EndingFrom(digest), {}, kFromPeer);
   }
 }
 
 void
-QuarantineShare::TakeText(const std::string& aText, std::string_view aFrom)
+QuarantineShare::AddRecordsFromText(const std::string& aText,
+                                    std::string_view aFrom)
 {
   const auto told =
     quarantine::ParseCrashRecords(aText, net::EventLoop::WallNow());
@@ -147,7 +150,7 @@
     return;
   }
   for (const quarantine::ReportedCrash& ending : *told) {
-    m_take(ending.m_record, ending.m_age, aFrom);
+    m_onRecord(ending.m_record, ending.m_age, aFrom);
   }
 }
 
@@ -202,7 +205,7 @@
         return;
       }
       for (const relay::FollowedRow& row : aSlice->m_rows) {
-        TakeText(row.m_value, "a peer's full list");
+        AddRecordsFromText(row.m_value, "a peer's full list");
       }
       NoteKnown(kFromPeer);
     });
@@ -252,7 +255,7 @@
       return;
     }
     for (const relay::FollowedRow& row : page->m_rows) {
-      TakeText(row.m_value, "the store");
+      AddRecordsFromText(row.m_value, "the store");
     }
     m_written = m_quarantine.Fingerprint();
     NoteKnown("the store");
--- a/packages/entry/src/QuarantineShare.h
+++ b/packages/entry/src/QuarantineShare.h
@@ -25,7 +25,7 @@
 
   /** Receives a crash record from a peer or the store, its greatest possible
    * age, and the source for the log. */
-  using Take = sigc::slot<
+  using RecordHandler = sigc::slot<
     void(const quarantine::CrashRecord&, Duration, std::string_view)>;
 
   /** Precondition: all arguments outlive this object. */
@@ -34,7 +34,7 @@
                   Peers& aPeers,
                   PeerRows& aPeerRows,
                   const quarantine::Quarantine& aQuarantine,
-                  Take aTake);
+                  RecordHandler aOnRecord);
 
   void Start();
   /** Returns whether this instance has received the quarantined calls from a
@@ -42,13 +42,13 @@
   bool IsKnown() const { return m_known; }
   /** Announces crash records, or clearings, that this instance has observed to
    * all live peers at once, and with the next heartbeats. */
-  void Tell(std::vector<quarantine::CrashRecord> aEndings);
+  void Announce(std::vector<quarantine::CrashRecord> aEndings);
   /** Must be called several times a second. */
   void Tick();
 
 private:
   /** A crash record of this instance that is still announced. */
-  struct News
+  struct AnnouncedRecord
   {
     Instant m_at;
     quarantine::CrashRecord m_record;
@@ -56,9 +56,9 @@
 
   /** Sets the records that the heartbeats contain, without those that have been
    * announced for long enough. */
-  void TellNews();
-  void TakeTold(std::span<const membership::CrashDigest> aEndings);
-  void TakeText(const std::string& aText, std::string_view aFrom);
+  void UpdateHeartbeat();
+  void AddReportedRecords(std::span<const membership::CrashDigest> aEndings);
+  void AddRecordsFromText(const std::string& aText, std::string_view aFrom);
   void NoteKnown(std::string_view aFrom);
   /** Requests the records of a peer whose quarantined calls differ, or reads
    * the store if this instance knows nothing and no peer does. */
@@ -78,8 +78,9 @@
   Peers& m_peers;
   PeerRows& m_peerRows;
   const quarantine::Quarantine& m_quarantine;
-  Take m_take;
-  std::deque<News> m_news; ///< Records of this instance, the oldest first.
+  RecordHandler m_onRecord;
+  std::deque<AnnouncedRecord>
+    m_announcedRecords; ///< Records of this instance, the oldest first.
   bool m_known = false;
   /** The list of instances is known, and with it whether there are peers. */
   bool m_listed = false;
--- a/packages/entry/src/Relay.cpp
+++ b/packages/entry/src/Relay.cpp
@@ -27,7 +27,7 @@
  * spent in an earlier attempt. All callers of a route have the same time limit,
  * so a call that arrives with less time has been sent before. Differences below
  * 50 ms come from the network and the clocks. */
-constexpr Duration kLeastLost{ 50 };
+constexpr Duration kMinEarlierWait{ 50 };
 
 } // namespace
 
@@ -45,7 +45,7 @@
     m_node.m_settings.m_callers,
     {},
     [this](const std::shared_ptr<net::HttpExchange>& aExchange) {
-      Take(aExchange);
+      HandleRequest(aExchange);
     });
   if (!server) {
     return tl::unexpected(server.error());
@@ -146,7 +146,7 @@
 }
 
 void
-Relay::Take(const std::shared_ptr<net::HttpExchange>& aExchange)
+Relay::HandleRequest(const std::shared_ptr<net::HttpExchange>& aExchange)
 {
   CallHead head = m_node.m_dialect.m_readCall(aExchange->Request());
   if (!m_node.m_stop.AcceptsCalls(m_node.Now())) {
@@ -165,7 +165,7 @@
   std::uniform_real_distribution<double> unit(0, 1);
   const std::string& service =
     relay::RouteTable::Draw(*route, unit(m_node.m_random));
-  const Duration lost = NoteDeadline(route->m_name, head.m_deadline);
+  const Duration earlierWait = NoteDeadline(route->m_name, head.m_deadline);
   auto kind = KindOf(route->m_name, head.m_prompt);
   const std::uint64_t id = ++m_lastCall;
   auto call =
@@ -176,7 +176,7 @@
                                                 route,
                                                 service,
                                                 std::move(kind),
-                                                lost,
+                                                earlierWait,
                                                 MovedTokensPerMs(service),
                                                 ConnectionsOf(service),
                                                 &BudgetOf(service),
@@ -199,8 +199,8 @@
   }
   Duration& most = m_deadlines[aRoute];
   most = std::max(most, *aDeadline);
-  const Duration lost = most - *aDeadline;
-  return lost >= kLeastLost ? lost : Duration{};
+  const Duration earlierWait = most - *aDeadline;
+  return earlierWait >= kMinEarlierWait ? earlierWait : Duration{};
 }
 
 void
--- a/packages/entry/src/Relay.h
+++ b/packages/entry/src/Relay.h
@@ -36,7 +36,7 @@
   std::size_t Unsent() const { return m_server->Unsent(); }
 
 private:
-  void Take(const std::shared_ptr<net::HttpExchange>& aExchange);
+  void HandleRequest(const std::shared_ptr<net::HttpExchange>& aExchange);
   void Refuse(net::HttpExchange& aExchange,
               const CallHead& aHead,
               int aStatus,
--- a/packages/entry/src/RelayCall.cpp
+++ b/packages/entry/src/RelayCall.cpp
@@ -25,7 +25,7 @@
  * run at most once. Some upstreams drop connections that were idle for 300 ms
  * or more. If a send fails on such a connection, the sender cannot tell whether
  * the call ran. */
-constexpr Duration kLongestRest{ 250 };
+constexpr Duration kMaxIdleTime{ 250 };
 /** Priority of calls that miss their target for the first byte in any case.
  * Engines serve them after calls that can still meet theirs. Routes have
  * priorities below ten. */
@@ -114,7 +114,7 @@
 }
 
 Duration
-RelayCall::UntilGivenUp() const
+RelayCall::TimeUntilAbandoned() const
 {
   const Duration silence = m_start.m_route->m_abandonTimeout;
   const Duration spent = m_node.Now() - m_began;
@@ -125,7 +125,7 @@
 Duration
 RelayCall::LeftToFirstToken() const
 {
-  return std::min(Left() - kOutputTime, UntilGivenUp());
+  return std::min(Left() - kOutputTime, TimeUntilAbandoned());
 }
 
 void
@@ -160,7 +160,7 @@
   }
   // An action may have handled a further event, which ended the call. The
   // signal is still emitted only once.
-  if (m_flow.IsDone() && !std::exchange(m_told, true)) {
+  if (m_flow.IsDone() && !std::exchange(m_doneEmitted, true)) {
     m_timer = {};
     m_done.emit();
   }
@@ -190,7 +190,7 @@
   const bool isFirst = aAction.m_excluded.empty();
   request.m_pause = m_start.m_route->m_pause;
   request.m_left = LeftToFirstToken();
-  request.m_untilGivenUp = UntilGivenUp();
+  request.m_untilGivenUp = TimeUntilAbandoned();
   request.m_shortestAim =
     m_start.m_routes->ShortestFirstByteTarget(m_start.m_service);
   request.m_movedPerMs = m_start.m_movedTokensPerMs;
@@ -199,7 +199,7 @@
     const Duration spent = m_node.Now() - m_began;
     request.m_admissionBound =
       relay::AdmissionBoundOf(m_start.m_route->m_firstByteTarget) - spent -
-      m_start.m_lost;
+      m_start.m_earlierWait;
   }
   const relay::PlaceResult result =
     m_node.m_fleet.FindPlace(request, m_node.Now());
@@ -346,7 +346,7 @@
   request.m_connectTimeout = kConnectTimeout;
   request.m_keepIdle = m_start.m_connections.m_idle;
   if (m_start.m_route->m_repeat == relay::Repeat::Never) {
-    request.m_longestRest = kLongestRest;
+    request.m_longestRest = kMaxIdleTime;
   }
   m_attempt.m_tokensAhead = m_node.m_fleet.TokensAt(aMember.m_id);
   m_node.m_log->Write(observe::LogLevel::Info,
@@ -396,7 +396,7 @@
 }
 
 void
-RelayCall::LogRest(std::string_view aCause)
+RelayCall::LogEjection(std::string_view aCause)
 {
   m_node.m_metrics.Count("rests_total");
   m_node.m_log->Write(
@@ -430,7 +430,7 @@
   m_attempt.m_hasHead = true;
   m_attempt.m_head = aHead;
   m_attempt.m_saidNotRun = m_node.m_dialect.m_saysNotRun(aHead);
-  m_readBody.clear();
+  m_prefillAnswer.clear();
   if (!m_attempt.m_saidNotRun && !m_attempt.m_readOnly) {
     Handle(relay::HeadArrived{ m_attempt.m_id, aHead.m_status });
   }
@@ -445,7 +445,7 @@
   }
   const Instant now = m_node.Now();
   const auto last = std::exchange(m_attempt.m_lastBytes, now);
-  if (last && now - *last > most && !std::exchange(m_paused, true)) {
+  if (last && now - *last > most && !std::exchange(m_hadLongPause, true)) {
     m_node.m_fleet.NoteStream(m_start.m_service, true);
   }
 }
@@ -456,7 +456,7 @@
   NoteResponse();
   NotePause();
   if (m_attempt.m_readOnly) {
-    m_readBody.append(aBytes);
+    m_prefillAnswer.append(aBytes);
   } else if (!m_attempt.m_saidNotRun) {
     Handle(relay::BytesArrived{ m_attempt.m_id, std::string(aBytes) });
   }
@@ -469,7 +469,7 @@
   NoteConnection(aResponse);
   if (aResponse.m_silent || aResponse.m_end == net::HttpEnd::NotSent) {
     m_node.m_fleet.NoteUnreachable(m_attempt.m_upstream, m_node.Now());
-    LogRest("upstream cannot be reached");
+    LogEjection("upstream cannot be reached");
   }
   const relay::AttemptId id = m_attempt.m_id;
   if (aResponse.m_end == net::HttpEnd::NotSent) {
@@ -480,7 +480,7 @@
   } else if (aResponse.m_end == net::HttpEnd::Broken) {
     Handle(relay::AttemptBroke{ id });
   } else if (m_attempt.m_readOnly) {
-    std::string handle = m_node.m_dialect.m_readHandle(m_readBody);
+    std::string handle = m_node.m_dialect.m_readHandle(m_prefillAnswer);
     if (handle.empty()) {
       Handle(relay::AnswerEnded{ id });
     } else {
@@ -515,7 +515,7 @@
         { "tookMs", (m_node.Now() - m_attempt.m_sentAt).count() } });
   }
   if (aAction.m_end == relay::AttemptEnd::Served && m_attempt.m_lastBytes &&
-      !m_paused) {
+      !m_hadLongPause) {
     m_node.m_fleet.NoteStream(m_start.m_service, false);
   }
   if (aAction.m_end == relay::AttemptEnd::Served && !m_attempt.m_readOnly &&
@@ -530,13 +530,14 @@
     // lower bound that already shows the estimate to be too low.
     NoteFirstToken();
   }
-  const bool rests = m_node.m_fleet.NoteEnded(m_attempt.m_upstream,
-                                              m_attempt.m_tokens,
-                                              aAction.m_end,
-                                              m_node.Now() - m_attempt.m_sentAt,
-                                              m_node.Now());
-  if (rests) {
-    LogRest(NameOf(aAction.m_end));
+  const bool isEjected =
+    m_node.m_fleet.NoteEnded(m_attempt.m_upstream,
+                             m_attempt.m_tokens,
+                             aAction.m_end,
+                             m_node.Now() - m_attempt.m_sentAt,
+                             m_node.Now());
+  if (isEjected) {
+    LogEjection(NameOf(aAction.m_end));
   }
   m_attempt.m_tokens = 0;
 }
--- a/packages/entry/src/RelayCall.h
+++ b/packages/entry/src/RelayCall.h
@@ -28,7 +28,7 @@
   /** Statistics of the prompts of its route; null if it has no prompt. */
   std::shared_ptr<relay::CallKind> m_kind;
   /** How long the caller has waited in earlier attempts of this call. */
-  Duration m_lost{};
+  Duration m_earlierWait{};
   /** Throughput of KV transfers between engines, in tokens per millisecond; see
    * `PlaceRequest::m_movedPerMs`. */
   double m_movedTokensPerMs = 0;
@@ -132,12 +132,12 @@
   void NoteResponse();
   /** Logs and counts that the upstream of the present attempt is ejected:
    * it gets no calls for a while. `aCause` says why. */
-  void LogRest(std::string_view aCause);
+  void LogEjection(std::string_view aCause);
   /** Returns the time until the deadline, at least 1 ms. */
   Duration Left() const;
   /** Returns the time until the caller abandons the call if no byte of the
    * answer has arrived by then. */
-  Duration UntilGivenUp() const;
+  Duration TimeUntilAbandoned() const;
   /** Returns how long the first token may still take: until the caller abandons
    * the call, or until the output could no longer end before the deadline,
    * whichever comes first. */
@@ -164,14 +164,14 @@
   std::optional<Instant> m_answeredAt;
   relay::Place m_place; ///< The present placement.
   /** The stream had a pause that was longer than the route allows. */
-  bool m_paused = false;
+  bool m_hadLongPause = false;
   std::optional<quarantine::CallDigest> m_digest;
   /** The call runs although it is quarantined, to find out whether the
    * quarantine is justified. */
-  bool m_tries = false;
-  std::string m_readBody; ///< Body of a prefill engine's answer.
-  std::string m_path;     ///< Upstreams tried, in order, for the log.
-  bool m_told = false;    ///< `SignalDone` was emitted.
+  bool m_isTrialRun = false;
+  std::string m_prefillAnswer; ///< Body of a prefill engine's answer.
+  std::string m_path;          ///< Upstreams tried, in order, for the log.
+  bool m_doneEmitted = false;  ///< `SignalDone` was emitted.
   sigc::signal<void()> m_done;
 };
 
--- a/packages/entry/src/RelayCallAnswer.cpp
+++ b/packages/entry/src/RelayCallAnswer.cpp
@@ -113,8 +113,8 @@
   if (aOutcome != kServed || !m_answeredAt) {
     return PromptOutcome::Failed;
   }
-  const Duration took = *m_answeredAt - m_began + m_start.m_lost;
-  return took <= m_start.m_route->m_firstByteTarget && !m_paused
+  const Duration took = *m_answeredAt - m_began + m_start.m_earlierWait;
+  return took <= m_start.m_route->m_firstByteTarget && !m_hadLongPause
            ? PromptOutcome::InAim
            : PromptOutcome::Late;
 }
--- a/packages/entry/src/RelayCallQuarantine.cpp
+++ b/packages/entry/src/RelayCallQuarantine.cpp
@@ -24,12 +24,12 @@
 RelayCall::QuarantineTimeLeft()
 {
   QuarantineService& quarantine = *m_start.m_quarantine;
-  if (m_tries || !quarantine.KnowsAny()) {
+  if (m_isTrialRun || !quarantine.KnowsAny()) {
     return std::nullopt;
   }
   const auto held = quarantine.QuarantineTimeLeft(Digest());
-  m_tries = held && quarantine.MayTry(Digest());
-  return m_tries ? std::nullopt : held;
+  m_isTrialRun = held && quarantine.AllowTrialRun(Digest());
+  return m_isTrialRun ? std::nullopt : held;
 }
 
 bool
