--- a/packages/entry/src/Peers.h
+++ b/packages/entry/src/Peers.h
@@ -5,7 +5,7 @@
 
 #include <functional>
 #include <ridgeferry/membership/Roster.h>
-#include <ridgeferry/membership/StoreDuty.h>
+#include <ridgeferry/membership/StorePollers.h>
 #include <ridgeferry/net/UdpSocket.h>
 #include <ridgeferry/relay/DataCentreLoads.h>
 #include <ridgeferry/relay/LeavingUpstreams.h>
--- a/packages/entry/src/QuarantineShare.cpp
+++ b/packages/entry/src/QuarantineShare.cpp
@@ -1,7 +1,7 @@
 #include "QuarantineShare.h"
 
 #include <algorithm>
-#include <ridgeferry/quarantine/EndingsText.h>
+#include <ridgeferry/quarantine/CrashRecordsText.h>
 #include <utility>
 
 namespace ridgeferry::entry {
--- a/packages/membership/bench/StoreDutyBench.cpp
+++ b/packages/membership/bench/StorePollersBench.cpp
@@ -6,7 +6,7 @@
 #include <benchmark/benchmark.h>
 #include <map>
 #include <ridgeferry/base/Hash.h>
-#include <ridgeferry/membership/StoreDuty.h>
+#include <ridgeferry/membership/StorePollers.h>
 
 namespace ridgeferry::membership {
 namespace {
--- a/packages/membership/src/StoreDuty.cpp
+++ b/packages/membership/src/StorePollers.cpp
@@ -1,4 +1,4 @@
-#include "ridgeferry/membership/StoreDuty.h"
+#include "ridgeferry/membership/StorePollers.h"
 
 #include <algorithm>
 #include <limits>
--- a/packages/membership/tests/StoreDutyTest.cpp
+++ b/packages/membership/tests/StorePollersTest.cpp
@@ -1,7 +1,7 @@
 #include <algorithm>
 #include <gtest/gtest.h>
 #include <ridgeferry/base/Hash.h>
-#include <ridgeferry/membership/StoreDuty.h>
+#include <ridgeferry/membership/StorePollers.h>
 
 namespace ridgeferry::membership {
 namespace {
--- a/packages/quarantine/src/EndingsText.cpp
+++ b/packages/quarantine/src/CrashRecordsText.cpp
@@ -1,4 +1,4 @@
-#include "ridgeferry/quarantine/EndingsText.h"
+#include "ridgeferry/quarantine/CrashRecordsText.h"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
--- a/packages/quarantine/tests/QuarantineTest.cpp
+++ b/packages/quarantine/tests/QuarantineTest.cpp
@@ -1,7 +1,7 @@
 #include <algorithm>
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
-#include <ridgeferry/quarantine/EndingsText.h>
+#include <ridgeferry/quarantine/CrashRecordsText.h>
 #include <ridgeferry/quarantine/Quarantine.h>
 
 namespace ridgeferry::quarantine {
