--- a/packages/relay/include/ridgeferry/relay/DecodePoolPlanner.h
+++ b/packages/relay/include/ridgeferry/relay/DecodePoolPlanner.h
@@ -47,15 +47,15 @@
   /**
    * How long a data centre must be short of decode engines before a prefill
    * engine replaces one. A crashed engine is back within two to four seconds,
-   * and a list that was unreachable shows its engines again within two, while a
-   * change itself takes three.
+   * and after the list of members was unreachable, it shows its engines again
+   * within two, while a role change itself takes three.
    */
   static constexpr Duration kShortFor{ 3000 };
 
   /**
    * Returns the role changes that are due now, starting with the least busy
-   * engines. `aNeeded` is the number of decode engines that the output of all
-   * data centres keeps busy.
+   * engines. `aNeeded` is the number of decode engines that the running calls
+   * of all data centres keep busy.
    */
   std::vector<EngineRoleChange> Plan(std::span<const PlannedEngine> aEngines,
                                      double aNeeded,
--- a/packages/relay/include/ridgeferry/relay/ExpiryGrace.h
+++ b/packages/relay/include/ridgeferry/relay/ExpiryGrace.h
@@ -11,22 +11,23 @@
  *
  * Rows expire while the store is unreachable for all, because their owners
  * cannot renew them. Without a grace period, an outage of some seconds would
- * empty the list of sound upstreams. Without a limit to that period, an
+ * empty the list of healthy upstreams. Without a limit to that period, an
  * upstream that has left would get calls for seconds. So an outage counts only
- * if no other instance was heard reading successfully all the way through it:
- * an instance that the store rejects alone gets no grace period. An instance
- * that was cut off together with its data centre heard from no other instance.
- * In that case the rows of upstreams in that data centre did expire, but those
- * of other data centres did not, as the instances there report (`Bounded`).
+ * if no other instance reported successful reads all the way through it: an
+ * instance that the store rejects alone gets no grace period. An instance that
+ * was cut off together with its data centre received no such report from any
+ * other instance. In that case the rows of upstreams in that data centre did
+ * expire, but those of other data centres did not, as the instances there
+ * report (`Bounded`).
  *
- * Decides only, without I/O; not thread-safe.
+ * This class only makes decisions and does no I/O. It is not thread-safe.
  */
 class ExpiryGrace
 {
 public:
   /**
    * For how long after the first answer that follows an outage a removed row
-   * may only have expired. The rows of sound upstreams are back two seconds
+   * may only have expired. The rows of healthy upstreams are back two seconds
    * after the store's return, and a follower notices the return up to 0.8 s
    * late. All grace periods have therefore ended three seconds after the
    * return; from then on, removals are final again.
@@ -109,8 +110,8 @@
 
   bool m_lost = false;
   /**
-   * True if steady peers were heard continuously since this instance's own
-   * reads began to fail.
+   * True if peers have reported steady reads (see `IsSteady`) without a gap
+   * since this instance's own reads began to fail.
    */
   bool m_heardThrough = false;
   /**
--- a/packages/relay/include/ridgeferry/relay/Fleet.h
+++ b/packages/relay/include/ridgeferry/relay/Fleet.h
@@ -82,9 +82,9 @@
 {
 public:
   /**
-   * Number of consecutive failures after which a member is ejected. One failure
-   * can be chance; three in a row are not, at the error rates of sound
-   * upstreams.
+   * Number of consecutive failures after which a member is ejected for
+   * `kEjectionTime`. One failure can be chance; three in a row are not, at the
+   * error rates of healthy upstreams.
    */
   static constexpr int kFailuresToEject = 3;
   static constexpr Duration kEjectionTime{ 1000 };
@@ -96,7 +96,7 @@
   static constexpr Duration kMisdirectedEjectionTime{ 3000 };
   /**
    * How long a member may leave a call unanswered before it counts as
-   * unresponsive and gets no further calls while other members are sound. 300
+   * unresponsive and gets no further calls while other members are healthy. 300
    * ms is far more than a decode step or a plain call takes. An engine gets
    * additional time: the expected prefill time of the prompts queued there,
    * times `kResponseTimeoutWorkFactor`, because an engine in the prefill role
@@ -145,8 +145,8 @@
    */
   void Drop(std::string_view aId, std::optional<Instant> aLapsesUntil);
   /**
-   * Ends the grace periods of all vanished members of data centre `aDataCentre`
-   * at `aUntil` at the latest.
+   * Ends the grace periods of all members of data centre `aDataCentre` that are
+   * no longer listed, at `aUntil` at the latest.
    */
   void BoundGracePeriods(std::string_view aDataCentre, Instant aUntil);
   /**
@@ -199,6 +199,10 @@
    * the pooled connections may be the ones that no longer respond.
    */
   bool NeedsOwnConnection(std::string_view aId, Instant aNow) const;
+  /**
+   * Records that the first byte of an answer arrived from a member, so that the
+   * call's `aTokens` are no longer waiting for prefill there.
+   */
   void NoteFirstByte(std::string_view aId, std::int64_t aTokens);
   /**
    * Records the end of an attempt at a member. `aTokens` is the prefill work
@@ -260,9 +264,9 @@
    */
   std::vector<std::uint32_t> OwnDisaggregatedServices() const;
   /**
-   * Returns `OwnDisaggregatedServices()` together with the restored findings,
-   * for other instances: most of them do not read the restored findings
-   * themselves.
+   * Returns `OwnDisaggregatedServices()` together with the services set by
+   * `RestoreDisaggregatedServices`, for announcement to other instances: most
+   * of them do not restore these themselves.
    */
   std::vector<std::uint32_t> ReportedDisaggregatedServices() const;
   /**
@@ -272,7 +276,10 @@
    */
   void SetDisaggregatedServices(const std::string& aInstance,
                                 std::vector<std::uint32_t> aServices);
-  /** Sets the findings that were made before this process started. */
+  /**
+   * Sets the services, by `ShortHash`, whose engines had been found unable to
+   * sustain colocated prefill before this process started.
+   */
   void RestoreDisaggregatedServices(std::vector<std::uint32_t> aServices);
   /**
    * Returns the number of decode engines that the running output of a service
@@ -287,10 +294,11 @@
    */
   void SetPeerLoads(const std::string& aInstance, std::vector<PeerLoad> aLoads);
   /**
-   * Records that this or another instance sent a prompt to engine `aId` for
-   * prefill; its prefix segments count as cached there from now on.
+   * Records that this instance sent a prompt to engine `aId` for prefill; its
+   * prefix segments count as cached there from now on.
    */
   void NotePrefill(const Prompt& aPrompt, std::string_view aId, Instant aNow);
+  /** Records that another instance announced a prefill of a segment. */
   void NoteCached(const CachedSegment& aPart, Instant aNow);
   /**
    * Returns the segments that this instance's own calls had prefilled less than
@@ -419,6 +427,13 @@
   static bool IsUnresponsive(const State& aState, Instant aNow);
   static void Eject(State& aState, Instant aNow);
   static bool HasConnection(const State& aState, const PlaceRequest& aRequest);
+  /**
+   * Chooses the upstream of a call to a plain service. Here and below, `aSound`
+   * are the members that may get the call: those of the service that are not
+   * leaving, ejected, excluded or changing roles, have a connection to spare
+   * and are responsive. If all of them are unresponsive, unresponsive members
+   * are used.
+   */
   PlaceResult FindPlain(std::span<const State* const> aSound,
                         const PlaceRequest& aRequest) const;
   PlaceResult FindEngine(std::span<const State* const> aSound,
@@ -457,7 +472,8 @@
                       double aErrorFactor);
   /**
    * Returns the result for a prompt that no engine has room for: `PlaceLater`
-   * if the caller will still wait long enough, otherwise a fault.
+   * if the caller will still wait long enough, otherwise a fault. `aBest` is
+   * the result of `PickDisaggregated`.
    */
   static PlaceResult NoRoomAt(const Candidate& aBest,
                               const PlaceRequest& aRequest,
@@ -483,6 +499,11 @@
    */
   std::optional<PlaceFault> RefusalOf(std::span<const Candidate> aCandidates,
                                       const PlaceRequest& aRequest) const;
+  /**
+   * Returns whether a prompt that `RefusalOf` refuses is admitted all the same,
+   * because it is smaller than a typical one and its own first token is
+   * expected within the admission bound at `aBest`.
+   */
   bool PassesForItsSize(const Candidate& aBest,
                         const PlaceRequest& aRequest) const;
   /**
@@ -494,8 +515,8 @@
     std::span<const Candidate> aCandidates,
     const PlaceRequest& aRequest);
   /**
-   * Chooses the engine that prefills the prompt. Precondition: `aCandidates` is
-   * not empty.
+   * Chooses the engine that prefills the prompt. `aBest` is the candidate with
+   * the earliest first token. Precondition: `aCandidates` is not empty.
    */
   static const Candidate* PickPrefillEngine(
     std::span<const Candidate> aCandidates,
@@ -601,6 +622,7 @@
     ColocatedPrefill m_colocatedPrefill;
     /** Smoothed KV cache size of a call, prompt and output, in tokens. */
     double m_heldTokens = 0;
+    /** Prefill throughput of the prefill engines and of the decode engines. */
     MedianThroughput m_prefillThroughput;
     MedianThroughput m_decodeThroughput;
   };
@@ -616,6 +638,7 @@
   IncarnationOrder NoteIncarnation(const Member& aMember);
   void ForgetIncarnation(const std::string& aId);
   void Update(const Member& aMember);
+  /** Adds loads of a peer, or subtracts them if `aSign` is -1. */
   void AddPeerLoads(std::span<const PeerLoad> aLoads, std::int64_t aSign);
   void ApplyRoleUpdate(State& aState);
   /**
--- a/packages/relay/include/ridgeferry/relay/LeavingUpstreams.h
+++ b/packages/relay/include/ridgeferry/relay/LeavingUpstreams.h
@@ -12,11 +12,12 @@
  * that each instance learns that an upstream leaves even if its own copy of the
  * list is late.
  *
- * Invariant: only upstreams that are listed here are announced. An announcement
- * therefore ends when the upstream is removed from the list. An instance that
- * has seen the removal does not accept the announcement again from one that has
- * not, and the set stays as small as the number of upstreams that are leaving
- * at the moment. Decides only, without I/O; not thread-safe.
+ * Invariant: only upstreams in this instance's copy of the list are announced.
+ * An announcement therefore ends when the upstream is removed from the list. An
+ * instance that has seen the removal does not accept the announcement again
+ * from one that has not, and the set stays as small as the number of upstreams
+ * that are leaving at the moment. This class only makes decisions and does no
+ * I/O. It is not thread-safe.
  */
 class LeavingUpstreams
 {
--- a/packages/relay/include/ridgeferry/relay/MedianThroughput.h
+++ b/packages/relay/include/ridgeferry/relay/MedianThroughput.h
@@ -10,7 +10,7 @@
  * The throughput of an engine over its last samples, in tokens per millisecond.
  * The median is used because some samples are far off in either direction:
  * prompts of other instances were queued ahead without this instance knowing,
- * or more of the prompt was cached than it assumed. Not thread-safe.
+ * or more of the prompt was cached than this instance assumed. Not thread-safe.
  */
 class MedianThroughput
 {
--- a/packages/relay/include/ridgeferry/relay/Member.h
+++ b/packages/relay/include/ridgeferry/relay/Member.h
@@ -27,8 +27,8 @@
   std::string m_id;
   std::string m_service;
   std::string m_dataCentre;
-  std::string m_address; ///< IP:PORT.
-  std::int64_t m_slots = 1;
+  std::string m_address;    ///< IP:PORT.
+  std::int64_t m_slots = 1; ///< Calls that it runs at the same time.
   UpstreamRole m_role = UpstreamRole::Plain;
   bool m_leaving = false;
   /** See `UpstreamIncarnation::m_born`. */
--- a/packages/relay/include/ridgeferry/relay/Placement.h
+++ b/packages/relay/include/ridgeferry/relay/Placement.h
@@ -18,6 +18,7 @@
   std::string_view m_service;
   std::string_view m_dataCentre;  ///< Data centre of this instance.
   std::optional<Prompt> m_prompt; ///< Empty for a call to a plain service.
+  /** Ids of upstreams that must not be chosen. */
   std::span<const std::string> m_excluded;
   /** Maximum number of connections from this instance to one upstream. */
   std::int64_t m_mostOpen = std::numeric_limits<std::int64_t>::max();
@@ -105,9 +106,14 @@
 /** Why a call has no place. */
 enum class NoPlaceCause : std::uint8_t
 {
-  NoneSound, ///< No upstream of the service is listed, or none is sound.
-  Full, ///< Every sound upstream has too much queued or too many connections
-        ///< open.
+  /**
+   * No upstream of the service may get the call: none is listed; all are
+   * leaving, ejected, excluded or changing roles; or no engine could decode the
+   * output.
+   */
+  NoneSound,
+  Full, ///< Every upstream that may get the call has too much queued or too
+        ///< many connections open.
   /**
    * No engine, even an idle one, could prefill it before the caller gives up.
    */
--- a/packages/relay/include/ridgeferry/relay/RelayFlow.h
+++ b/packages/relay/include/ridgeferry/relay/RelayFlow.h
@@ -263,8 +263,9 @@
    * the retry budget and by whether the call is suspected of crashing
    * upstreams. */
   void SetRepeatAllowed(bool aAllowed) { m_repeatAllowed = aAllowed; }
-  /** Returns how many attempts may have run the call. An attempt counts only
-   * once it has ended, and no longer if its upstream turns out to have crashed.
+  /**
+   * Returns how many attempts may have run the call. An attempt counts from its
+   * end on, and stops counting if its upstream is found to have crashed.
    */
   int Runs() const { return m_runs; }
   /** Returns the id of the last forwarded event that had one; empty if none
--- a/packages/relay/include/ridgeferry/relay/RemovedUpstreams.h
+++ b/packages/relay/include/ridgeferry/relay/RemovedUpstreams.h
@@ -11,13 +11,14 @@
 namespace ridgeferry::relay {
 
 /**
- * Upstreams that were removed from the list, so that none of them returns
- * because of an outdated row alone. A store that was restored from an older
- * copy lists again the upstreams that left after the copy was made. Such a row
- * is held back until the store reports a change of it, or until it has existed
- * for so long that its upstream must be renewing it. An upstream that left gets
- * no more calls, and one that was wrongly taken as removed is used again after
- * `kHold`. Decides only, without I/O; not thread-safe.
+ * Remembers the upstreams that were removed from the list, so that none of them
+ * is used again because of an outdated row alone. A store that was restored
+ * from an older copy lists again the upstreams that left after the copy was
+ * made. Such a row is held back until the store reports a change of it, or
+ * until it has existed for so long that its upstream must be renewing it. An
+ * upstream that left gets no more calls, and one that was wrongly taken as
+ * removed is used again after `kHold`. This class only makes decisions and does
+ * no I/O. It is not thread-safe.
  */
 class RemovedUpstreams
 {
@@ -38,8 +39,8 @@
   /** Records that the upstream's row was removed. */
   void NoteGone(const UpstreamIncarnation& aUpstream, Instant aNow);
   /**
-   * Records that the store reported a change of the row, whatever the change
-   * is. The upstream is then no longer held back.
+   * Records that the store reported a change of the upstream's row, whatever
+   * the change is. The upstream is then no longer held back.
    */
   void NoteChange(std::string_view aId);
   /**
--- a/packages/relay/include/ridgeferry/relay/RoleChangeController.h
+++ b/packages/relay/include/ridgeferry/relay/RoleChangeController.h
@@ -29,7 +29,8 @@
 /** How an engine answered an order. */
 enum class OrderAnswer : std::uint8_t
 {
-  Taken,   ///< The engine is carrying it out, or already has that role.
+  Taken,   ///< The engine is carrying the order out, or has the ordered role
+           ///< already.
   Refused, ///< The engine will not carry the order out.
   /**
    * No answer. The engine may still carry the order out, even seconds later.
@@ -75,7 +76,10 @@
   std::string m_engine;
   OrderAnswer m_answer = OrderAnswer::Lost;
 };
-/** Reports that an engine was removed from the list for good. */
+/**
+ * Reports that an engine was permanently removed from the platform's list of
+ * upstreams. Its open role change, if any, is dropped.
+ */
 struct EngineGone
 {
   std::string m_engine;
@@ -157,9 +161,9 @@
    */
   static constexpr std::size_t kMostAsksATick = 3;
   /**
-   * If an engine has not carried out an order by then, its role is taken from
-   * the list again. A change takes some seconds, including the end of a long
-   * stream before it, which is well below this limit.
+   * If an engine has not carried out an order within this time, its role is
+   * taken from the list again. A change takes some seconds, including the end
+   * of a long stream before it, which is well below this limit.
    */
   static constexpr Duration kLongest{ 12'000 };
   /**
--- a/packages/relay/include/ridgeferry/relay/TableFollower.h
+++ b/packages/relay/include/ridgeferry/relay/TableFollower.h
@@ -382,6 +382,7 @@
    * which the store may hold a read of changes open.
    */
   void Ask(Instant aNow, Duration aWait, Actions& aActions);
+  /** Asks a peer; see `AskPeer::m_jitter` for `aWithin`. */
   void AskAPeer(Duration aWithin, Actions& aActions);
   void TakeTable(std::span<const FollowedRow> aRows,
                  StorePosition aPosition,
@@ -438,6 +439,10 @@
   bool m_startTimedOut = false;
   /** True while no read is under way and none is due soon. */
   bool m_isOnStandby = false;
+  /**
+   * Since when this instance has waited for a change or generation that is
+   * known elsewhere; empty if it waits for none.
+   */
   std::optional<Instant> m_behindSince;
   /** The peer's position for which a lost read was last cancelled and sent
    * again. */
--- a/packages/relay/src/ColocatedPrefill.cpp
+++ b/packages/relay/src/ColocatedPrefill.cpp
@@ -14,8 +14,9 @@
  */
 constexpr int kLeastPaces = 3;
 /**
- * Share of the allowed pause that the prefill of a whole mean prompt may take.
- * The rest is for the decode steps and chunks of a second prompt.
+ * The prefill of a whole mean prompt may take at most this share of the longest
+ * pause that callers accept between two events. The rest is for the decode
+ * steps and chunks of a second prompt.
  */
 constexpr double kMostOfPause = 0.6;
 /**
--- a/packages/relay/src/DecodePoolPlanner.cpp
+++ b/packages/relay/src/DecodePoolPlanner.cpp
@@ -18,9 +18,9 @@
 constexpr std::size_t kMinDecodeEngines = 2;
 constexpr std::size_t kSmallDataCentre = 6;
 /**
- * Decode engines become prefill engines only if there are more than the need
- * times this factor. A change takes an engine out of service for seconds, so a
- * need that swings by a fifth changes nothing.
+ * Decode engines become prefill engines only if there are more of them than the
+ * number needed times this factor. A change takes an engine out of service for
+ * seconds, so no role changes if the number needed varies by a fifth.
  */
 constexpr double kShrinkMargin = 1.2;
 
@@ -40,8 +40,8 @@
 
 /**
  * Returns the number of decode engines that a data centre with `aDataCentre`
- * engines should have for a need of `aNeeded`: at least `aLeast`, and at most
- * so many that one engine of several prefills.
+ * engines should have if its calls need `aNeeded` of them: at least `aLeast`,
+ * and at most all but one, so that one engine prefills if there are several.
  */
 std::size_t
 AtLeast(std::size_t aDataCentre, double aNeeded, std::size_t aLeast)
--- a/packages/relay/src/EngineThroughput.h
+++ b/packages/relay/src/EngineThroughput.h
@@ -6,12 +6,14 @@
 
 /**
  * Minimum time to a first token, in ms, even of a short prompt: network round
- * trips, decode steps, and the other calls of a step.
+ * trips, decode steps, and the other calls that the engine handles in the same
+ * step.
  */
 inline constexpr double kFirstTokenMs = 15;
 /**
- * Throughput assumed until a sample was measured, in tokens per ms, for current
- * engines.
+ * Prefill throughput that is assumed of a prefill engine and of a decode engine
+ * until a sample was measured, in tokens per ms. The values are those of
+ * current engines.
  */
 inline constexpr double kPrefillThroughput = 250;
 inline constexpr double kDecodeThroughput = 125;
@@ -20,8 +22,8 @@
 inline constexpr double kDecodeEnginePrefillCost = 2.0;
 
 /**
- * Returns the throughput assumed for an engine of that role until a sample was
- * measured, in tokens per ms.
+ * Returns the prefill throughput assumed for an engine of that role until a
+ * sample was measured, in tokens per ms.
  */
 inline double
 DefaultThroughput(UpstreamRole aPart)
--- a/packages/relay/src/Fleet.cpp
+++ b/packages/relay/src/Fleet.cpp
@@ -17,26 +17,30 @@
  */
 constexpr double kNewest = 0.1;
 /**
- * Bounds of a throughput sample, in work units per millisecond, and the least
- * work of a usable sample. With less work the network round trip takes more of
- * the time than the prefill.
+ * Bounds of a throughput sample, in units of work (see `Fleet::WorkOf`) per
+ * millisecond, and the least work of a usable sample. With less work the
+ * network round trip takes more of the time than the prefill.
  */
 constexpr double kMinThroughput = 10;
 constexpr double kMaxThroughput = 2000;
 constexpr std::int64_t kLeastPaceTokens = 1500;
 /**
- * Time constant for smoothing estimate errors. A load peak rises within half a
- * second, and its end should be noticed as quickly.
+ * Time constant for smoothing estimate errors, the ratios of measured to
+ * expected first-token time; in ms. A load peak rises within half a second, and
+ * its end should be noticed as quickly.
  */
 constexpr Duration kEstimateErrorMemory{ 500 };
 /**
- * Bounds of the estimate error, and the least expected time that it is computed
- * from: network round trips alone take some milliseconds.
+ * Bounds of the estimate error, and the least expected time, in ms, that it is
+ * computed from: network round trips alone take some milliseconds.
  */
 constexpr double kMinEstimateError = 0.7;
 constexpr double kMaxEstimateError = 6;
 constexpr double kLeastExpectedMs = 20;
-/** Maximum weight of a single first token in the estimate error. */
+/**
+ * Maximum weight of a single measured first token in the smoothed estimate
+ * error.
+ */
 constexpr double kMaxEstimateErrorWeight = 0.5;
 
 double
--- a/packages/relay/src/FleetPlacement.cpp
+++ b/packages/relay/src/FleetPlacement.cpp
@@ -43,13 +43,14 @@
 constexpr double kMaxReservedCalls = 40;
 /**
  * How much later than on the best engine a prompt's first token may arrive on
- * its affinity target, in ms. The shared prefix cached there need not be
- * prefilled, which saves time for every prompt that waits there.
+ * its affinity target, in ms. The affinity target is the engine that is assumed
+ * to have the prompt's shared prefix cached. That prefix need not be prefilled
+ * there, which saves time for every prompt that waits there.
  */
 constexpr double kAffinitySlackMs = 100;
 /**
  * How much later than on the best known engine the first token may arrive on a
- * randomly drawn prefill engine, in ms.
+ * randomly drawn prefill engine (see `BetterOfTwo`), in ms.
  */
 constexpr double kMostDrawnMs = 60;
 /**
@@ -61,14 +62,14 @@
 constexpr double kRemoteDecodePenaltyMs = 5;
 /**
  * How much later than on the best decode engine the output may begin on a
- * randomly drawn one, in ms: one or two decode steps.
+ * randomly drawn one (see `BetterOfTwo`), in ms: one or two decode steps.
  */
 constexpr double kMaxDrawnDecodeMs = 8;
 /** Assumed duration of a plain call before any was measured, in ms. */
 constexpr double kUnknownTookMs = 10;
 /**
- * Weight of the share of failed attempts. A member whose calls all fail is
- * rated `1 + kFailPenalty` times slower.
+ * Weight of a member's share of failed attempts in its expected response time.
+ * A member whose calls all fail is rated `1 + kFailPenalty` times slower.
  */
 constexpr double kFailPenalty = 8;
 /**
@@ -77,8 +78,8 @@
  */
 constexpr double kOtherDataCentreMs = 3;
 /**
- * When one of the open connections should become free: several times the
- * duration of a plain call.
+ * Time after which a connection should be free again if all that may be open
+ * are in use, in ms: several times the duration of a plain call.
  */
 constexpr Duration kConnectionWait{ 100 };
 /**
@@ -88,8 +89,8 @@
  */
 constexpr double kAttentionTokens = 24'000;
 /**
- * Number of clean samples from which on an engine's own throughput is used
- * instead of that of other engines of its role.
+ * Number of clean samples (see `ThroughputSample::m_isClean`) from which on an
+ * engine's own throughput is used instead of that of other engines of its role.
  */
 constexpr std::size_t kMinOwnSamples = 4;
 /**
@@ -314,9 +315,10 @@
 std::uint64_t
 Fleet::ReservedHashBound(std::string_view aService, bool aMost) const
 {
-  // The reserved engines are those with the lowest hashes, as many as the
-  // running calls need. All instances see nearly the same numbers and therefore
-  // agree on nearly the same engines.
+  // Some decode engines are reserved: they prefill no long prompts. They are
+  // those with the lowest hashes, as many as the running calls need. All
+  // instances see nearly the same numbers and therefore agree on nearly the
+  // same engines.
   std::vector<std::uint64_t> hashes;
   std::int64_t running = 0;
   std::int64_t slots = 1;
@@ -378,8 +380,8 @@
                         std::span<const State* const> aSound,
                         const PlaceRequest& aRequest)
 {
-  // A call that is handed over waits behind the prompts that are being
-  // prefilled on the decode engine.
+  // A call that was prefilled elsewhere and is handed over to a decode engine
+  // waits there behind the prompts that are being prefilled.
   const auto takes = [&](const State* aState) {
     const bool away =
       aState->m_member.m_dataCentre != aPrefillEngine.m_member.m_dataCentre;
@@ -409,9 +411,9 @@
 Fleet::RefusalOf(std::span<const Candidate> aCandidates,
                  const PlaceRequest& aRequest) const
 {
-  // Compares the bound with the queueing time and a typical prompt's prefill,
-  // not with the prefill of this prompt: otherwise a queue that lets small
-  // prompts pass would shut large ones out.
+  // Compares the admission bound with the queueing time and a typical prompt's
+  // prefill time, not with the prefill of this prompt: otherwise a queue that
+  // lets small prompts pass would shut large ones out.
   const Candidate& soonest =
     *std::min_element(aCandidates.begin(),
                       aCandidates.end(),
@@ -479,7 +481,7 @@
   const std::uint64_t reservedBound =
     ReservedHashBound(aRequest.m_service, false);
   // Output is produced steadily on engines that prefill no long prompts, so
-  // short prompts go there as long as there is room.
+  // short prompts go to these reserved engines as long as one has free slots.
   const bool reservedHasRoom =
     std::any_of(aSound.begin(), aSound.end(), [&](const State* aState) {
       return IsReservedForDecode(*aState, reservedBound) &&
--- a/packages/relay/src/FleetPrefillEngines.cpp
+++ b/packages/relay/src/FleetPrefillEngines.cpp
@@ -22,21 +22,23 @@
 constexpr double kRoomMs = 60;
 /**
  * Maximum wait at a prefill engine for prompts that can still meet their
- * target, as shares of the shortest first-token target of the service. The
- * shortest target is used so that prompts with a long target do not fill the
- * engines until no short target can be met. Kinds of call whose typical prefill
- * takes up to `kShortReading` of that target may wait longer and so are
- * admitted before others, because the same prefill capacity then serves more
- * callers in time.
+ * target, in addition to `kRoomMs`, as shares of the shortest first-token
+ * target of the service. The shortest target is used so that prompts with a
+ * long target do not fill the engines until no short target can be met. Kinds
+ * of call whose typical prefill takes up to `kShortReading` of that target may
+ * wait longer (`kAheadOfShort` instead of `kAheadOfLong`) and so are admitted
+ * before others, because the same prefill capacity then serves more callers in
+ * time.
  */
 constexpr double kShortReading = 0.15;
 constexpr double kAheadOfShort = 0.5;
 constexpr double kAheadOfLong = 0.25;
 /**
  * A typical prompt may be prefilled on a busy decode engine if all prefill work
- * there, including the prompt, takes at most this share of the allowed pause.
- * There is then room for about one short prompt. The next one has to wait until
- * it is done, so that at most two thirds of the steps prefill.
+ * there, including the prompt, takes at most this share of the longest pause
+ * that the caller accepts between two events. There is then room for about one
+ * short prompt. The next one has to wait until it is done, so that at most two
+ * thirds of the steps prefill.
  */
 constexpr double kColocatedShare = 0.3;
 /**
@@ -44,7 +46,11 @@
  * kind.
  */
 constexpr double kMaxColocatedShare = 0.6;
-/** Minimum error to expect of an estimate that far ahead, in ms. */
+/**
+ * How long before its caller gives up the first token of a prompt must be
+ * expected, in ms, for the prompt to be placed again later if no engine has
+ * room for it. An estimate that far ahead may be wrong by at least this time.
+ */
 constexpr double kLeastSpareMs = 150;
 /**
  * How much higher than the best engine's cost the cost of a randomly drawn
@@ -52,8 +58,9 @@
  */
 constexpr double kMostDrawnMs = 15;
 /**
- * Cost of one ms of prefill to the prompts that wait behind it, in ms of the
- * prompt that is placed.
+ * Weight of the placed prompt's own prefill time in the cost of an engine: the
+ * prefill delays the prompts that wait behind it. One ms of prefill costs as
+ * much as this many ms until the first token of the placed prompt.
  */
 constexpr double kReadingWeight = 1;
 /**
@@ -63,15 +70,21 @@
  */
 constexpr double kAffinityBonusMs = 60;
 /**
- * A decode engine in another data centre is chosen only if it has this share of
- * its slots fewer calls in flight, because the KV transfer takes twice as long
- * to get there.
+ * A decode engine in another data centre than the prefill engine is chosen only
+ * if it has fewer calls in flight than the nearer ones, by at least this share
+ * of its slots, because the KV transfer takes twice as long to get there.
  */
 constexpr double kAwayShare = 0.33;
 
-/** Fewer tokens than this are prefilled sooner than they are fetched. */
+/**
+ * Minimum number of tokens that a prefill engine fetches from another engine's
+ * KV cache. Fewer tokens are prefilled sooner than fetched.
+ */
 constexpr std::int64_t kLeastFetched = 500;
-/** Time to start and finish a KV transfer, in ms. */
+/**
+ * Fixed time to start and finish a KV transfer, in ms. The time for the
+ * transferred tokens comes in addition.
+ */
 constexpr double kFetchMs = 4;
 /** Factor by which a KV transfer between two data centres takes longer. */
 constexpr double kAwayMoves = 2;
--- a/packages/relay/src/FleetRoles.cpp
+++ b/packages/relay/src/FleetRoles.cpp
@@ -12,8 +12,8 @@
 namespace {
 
 /**
- * Share of an engine's slots and cache that the output should use. Bursts of a
- * third more still fit.
+ * Share of a decode engine's slots and KV cache that the calls in flight should
+ * use. Bursts of a third more still fit.
  */
 constexpr double kSteadyShare = 0.75;
 /**
@@ -22,7 +22,10 @@
  * by chance.
  */
 constexpr std::ptrdiff_t kWitnesses = 2;
-/** Age from which own prefills are no longer announced. */
+/**
+ * Age from which the prefills of this instance's own calls are no longer
+ * announced, in ms.
+ */
 constexpr Duration kTellReadsFor{ 2000 };
 
 } // namespace
--- a/packages/relay/src/FollowedTable.cpp
+++ b/packages/relay/src/FollowedTable.cpp
@@ -14,7 +14,8 @@
 void
 FollowedTable::Take(const FollowedRow& aRow, std::uint64_t aVersion)
 {
-  // The version of the answer is not lower than that of any row in it.
+  // A row that has no version of its own gets the version of the answer, which
+  // is not lower than that of any row in it.
   const std::uint64_t version = aRow.m_version == 0 ? aVersion : aRow.m_version;
   m_changed = std::max(m_changed, version);
   if (!aRow.m_removed) {
@@ -95,8 +96,9 @@
   for (const FollowedRow& row : rows) {
     Take(row, version);
   }
-  // The versions at which the missing rows were removed are not known, nor are
-  // the rows that were added and removed in between.
+  // The versions at which the rows that `aRows` lacks were removed are not
+  // known, nor are the rows that were added and removed since the previous
+  // position.
   m_removals.clear();
   m_knowsAfter = version;
   m_position = aPosition;
--- a/packages/relay/src/RoleChangeController.cpp
+++ b/packages/relay/src/RoleChangeController.cpp
@@ -211,7 +211,7 @@
         break;
       case Step::Doubtful:
       case Step::Paused:
-        break; // The role in the list applies.
+        break; // The role in the list of members applies.
     }
   }
   return out;
--- a/packages/relay/src/TableFollower.cpp
+++ b/packages/relay/src/TableFollower.cpp
@@ -146,8 +146,8 @@
   if (!m_hasRead) {
     return;
   }
-  // One that already serves from the rows it holds must not wait for the store,
-  // which may be rejecting this instance alone.
+  // One case must not wait for the store: this instance already serves from the
+  // rows it holds, and the store may be rejecting this instance alone.
   if (!m_behindSince) {
     m_behindSince = aNow;
   } else if (aNow - *m_behindSince >= kBehindTimeout) {
@@ -273,8 +273,8 @@
   const bool isOld = aEvent.m_position.m_generation < m_generation ||
                      (m_hasRead && aEvent.m_position < m_table.Position());
   if (isOld) {
-    // The answer is older than what was already reported. Ask again a little
-    // later.
+    // The answer is older than the table held here, or of an earlier generation
+    // than one already seen. The store is asked again a little later.
     RejectAnswer(aEvent.m_position, aActions);
     aActions.emplace_back(RetryLater{ kFirstRetry });
     return;
