--- a/packages/relay/include/ridgeferry/relay/ExpiryGrace.h
+++ b/packages/relay/include/ridgeferry/relay/ExpiryGrace.h
@@ -26,17 +26,17 @@
 {
 public:
   /**
-   * For how long after the first answer that follows an outage a removed row
-   * may only have expired. The rows of healthy upstreams are back two seconds
-   * after the store's return, and a follower notices the return up to 0.8 s
-   * late. All grace periods have therefore ended three seconds after the
-   * return; from then on, removals are final again.
+   * How long after the first answer that follows an outage a removed row still
+   * counts as possibly only expired, in ms. The rows of healthy upstreams are
+   * back two seconds after the store's return, and a follower notices the
+   * return up to 0.8 s late. All grace periods have therefore ended three
+   * seconds after the return; from then on, removals are final again.
    */
   static constexpr Duration kGracePeriod{ 2100 };
   /**
-   * For how long a removed row may only have expired after the last message in
-   * which a peer reports an outage. That message arrives up to a second after
-   * the peer's first answer.
+   * How long after the last message in which a peer reports an outage a removed
+   * row still counts as possibly only expired, in ms. That message arrives up
+   * to a second after the peer's first answer.
    */
   static constexpr Duration kPeerGracePeriod{ 1400 };
   /**
--- a/packages/relay/include/ridgeferry/relay/RoleChangeController.h
+++ b/packages/relay/include/ridgeferry/relay/RoleChangeController.h
@@ -146,7 +146,7 @@
    * How long to wait after an order without an answer before ordering again, if
    * no report shows that the engine accepted the order. The next order names
    * the same count, so that only one of the two can take effect. Reports are
-   * 0.2 s old, and a sound engine answers at once.
+   * 0.2 s old, and a healthy engine answers at once.
    */
   static constexpr Duration kOrderAgain{ 1000 };
   /**
