--- a/packages/relay/tests/CallKindTest.cpp
+++ b/packages/relay/tests/CallKindTest.cpp
@@ -21,8 +21,8 @@
   EXPECT_NEAR(static_cast<double>(typical.Value().m_ownTokens), 500, 10);
 }
 
-// Guards against one large prompt making the other prompts of its kind count as
-// small.
+// Guards against one large prompt raising the typical size of its kind of calls
+// so much that the other prompts of that kind count as small.
 TEST(TypicalPromptTest, OneLargePromptHardlyMovesIt)
 {
   TypicalPrompt typical;
--- a/packages/relay/tests/ColocatedPrefillTest.cpp
+++ b/packages/relay/tests/ColocatedPrefillTest.cpp
@@ -10,7 +10,8 @@
 struct ColocatedCase
 {
   const char* m_name;
-  double m_work;       ///< Work to prefill a mean prompt without cached prefix.
+  double m_work;       ///< Work (`Fleet::WorkToPrefill`) to prefill a mean
+                       ///< prompt without cached prefix.
   double m_throughput; ///< Work per ms that decode engines prefill.
   int m_paces;         ///< Number of throughput samples.
   int m_pausedOfTen;   ///< How many of ten streams have a long pause.
--- a/packages/relay/tests/DataCentreLoadsTest.cpp
+++ b/packages/relay/tests/DataCentreLoadsTest.cpp
@@ -9,10 +9,10 @@
 struct SumCase
 {
   const char* m_name;
-  std::vector<PeerLoad> m_own;
+  std::vector<PeerLoad> m_own;    ///< Loads of the instance that sums.
   std::vector<PeerLoad> m_first;  ///< Loads of one peer.
   std::vector<PeerLoad> m_second; ///< Loads of another peer.
-  std::size_t m_most;
+  std::size_t m_most;             ///< Maximum number of members in the sum.
   std::vector<PeerLoad> m_sum;
 };
 
--- a/packages/relay/tests/DecodePoolPlannerTest.cpp
+++ b/packages/relay/tests/DecodePoolPlannerTest.cpp
@@ -38,18 +38,19 @@
 }
 
 /**
- * A data centre next to two others with four prefill engines and two decode
+ * The engines of a data centre, and the role changes that are planned for all
+ * data centres. Two other data centres have four prefill engines and two decode
  * engines each.
  */
 struct PlanCase
 {
   const char* m_name;
-  int m_reading;
-  int m_generating;
-  double m_needed; ///< Decode engines needed in all data centres.
-  Duration m_lasts;
-  std::ptrdiff_t m_toRead;
-  std::ptrdiff_t m_toGenerate;
+  int m_reading;    ///< Number of prefill engines in the data centre.
+  int m_generating; ///< Number of decode engines in the data centre.
+  double m_needed;  ///< Decode engines needed in all data centres.
+  Duration m_lasts; ///< Time between the first plan and the plan examined.
+  std::ptrdiff_t m_toRead;     ///< Engines that are to become prefill engines.
+  std::ptrdiff_t m_toGenerate; ///< Engines that are to become decode engines.
 };
 
 class DecodePoolPlanTest : public ::testing::TestWithParam<PlanCase>
--- a/packages/relay/tests/ExpiryGraceTest.cpp
+++ b/packages/relay/tests/ExpiryGraceTest.cpp
@@ -1,6 +1,6 @@
-// Simulates instances that follow a list through outages, network cuts, frozen
-// processes and lost messages, in virtual time. Checks when an upstream whose
-// row was removed may still get calls.
+// Simulates instances that follow the list of upstreams through outages,
+// network cuts, frozen processes and lost messages, in virtual time. Checks
+// when an upstream whose row was removed may still get calls.
 
 #include "CheckSeed.h"
 
@@ -24,7 +24,8 @@
  */
 constexpr int kExpiryMs = 3600;
 constexpr int kBackMs = 2000;
-/** Removals are final again this long after the store's return. */
+/** Once the store has been back for this time, a row that is read as removed
+ * can no longer merely have expired. */
 constexpr int kBindsMs = 3000;
 /**
  * A peer whose reads succeed counts as heard for this time after its last
@@ -83,7 +84,12 @@
 class StoreRow
 {
 public:
-  /** `aCut`: when the upstream's data centre is cut off from the store. */
+  /**
+   * `aOutage`: when the store answers nobody. `aCut`: when the upstream's data
+   * centre is cut off from the store. `aLeavesAt`: when the upstream leaves, if
+   * it does. `aBackAfter`: how long after the end of an outage or cut an
+   * expired row is back. All times are in milliseconds.
+   */
   StoreRow(Span aOutage,
            Span aCut,
            std::optional<int> aLeavesAt,
@@ -123,7 +129,8 @@
   /**
    * `aRejected`: when the store rejects this instance alone. `aCut`: when the
    * instance's whole data centre is cut off, also from the other instances.
-   * `aRowsDataCentre`: data centre of the upstream that is followed.
+   * `aFrozen`: when the instance's process is frozen. `aRowsDataCentre`: data
+   * centre of the upstream that is followed.
    */
   Follower(Span aRejected,
            Span aCut,
@@ -186,8 +193,8 @@
   bool SendsCalls(int aAt) const { return !m_gone || At(aAt) < *m_gone; }
   bool HasReadRemoval() const { return m_gone.has_value(); }
   /**
-   * Returns whether nothing keeps the instance from the store, now or shortly
-   * before.
+   * Returns whether the instance is neither rejected by the store nor frozen,
+   * now or shortly before. Does not consider cuts of its data centre.
    */
   bool IsCalm(int aAt) const
   {
@@ -252,9 +259,9 @@
 };
 
 /**
- * In each step, every instance reads and sends a message to each instance that
- * it can reach. One message in five is lost. `aCheck` is called after each
- * step.
+ * Simulates the whole run. In each step, every instance reads the row from the
+ * store and sends a message to each instance that it can reach. One message in
+ * five is lost. `aCheck` is called after each step.
  */
 template<typename Check>
 void
@@ -367,11 +374,12 @@
 }
 
 // Guards against calls to an upstream that has left, after a cut of another
-// data centre. An instance there was found sending a call 3 s after its return
-// to an upstream that had left 2.8 s before. The first list read after the cut
-// lacked the row, and every missing row counted as expired for 2.3 s, a guess
-// by time alone. But instances in the upstream's own data centre had read the
-// store throughout, so its upstreams could renew their rows.
+// data centre. An instance in the data centre that had been cut off was found
+// sending a call, 3 s after the end of the cut, to an upstream that had left
+// 2.8 s before. The first list read after the cut lacked the upstream's row,
+// and every missing row counted as expired for 2.3 s, a guess by time alone.
+// But instances in the upstream's own data centre had read the store
+// throughout, so its upstreams could renew their rows.
 TEST(ExpiryGraceWorldTest, CutOfAnotherDataCentreExpiresNoRow)
 {
   EXPECT_TRUE(rc::check("cut of another data centre", [] {
--- a/packages/relay/tests/FleetDecodeTargetTest.cpp
+++ b/packages/relay/tests/FleetDecodeTargetTest.cpp
@@ -1,9 +1,10 @@
-// Guards against choosing a decode engine that is busy with prefill. In a load
-// peak, the first events of such outputs took 6 ms on engines that were not
+// Guards against sending the decode of a call with disaggregated prefill to a
+// decode engine that is busy with prefills of its own. In a load peak, the
+// first event of the output of such a call took 6 ms on engines that were not
 // prefilling, and 60 ms (170 ms for one in ten) on engines with colocated
-// prefill, and engines of data centres where every decode engine prefilled got
-// twice as many outputs. The output must go to an engine without prefill, also
-// in another data centre.
+// prefill. Engines of data centres where every decode engine prefilled got
+// twice as many outputs. The call must be decoded by an engine that is not
+// prefilling, even if only another data centre has one.
 
 #include "FleetFixture.h"
 
@@ -43,8 +44,8 @@
   }
 
   /**
-   * Returns the number of calls by decode engine, for prompts that a prefill
-   * engine processes.
+   * Places `aCalls` calls. Returns, for each decode engine, how many of those
+   * calls it gets whose prompt a prefill engine processes.
    */
   std::map<std::string, int> DecodeTargetsOf(int aCalls)
   {
--- a/packages/relay/tests/FleetDisaggregatedTest.cpp
+++ b/packages/relay/tests/FleetDisaggregatedTest.cpp
@@ -11,7 +11,9 @@
 namespace ridgeferry::relay {
 namespace {
 
+/** Length of a shared prefix, in tokens. */
 constexpr std::int64_t kShared = 13'300;
+/** Number of tokens of a long prompt after its shared prefix. */
 constexpr std::int64_t kOwn = 3'700;
 constexpr double kPace = 60;
 
@@ -29,7 +31,8 @@
       Put(std::string(hall) + "g", hall, UpstreamRole::Decode);
     }
     m_fleet.RestoreDisaggregatedServices({ Fleet::ShortHash("llm") });
-    // Throughput is learned from one clean sample of each role.
+    // One clean sample of each role tells the throughput. A sample is clean if
+    // nothing was queued ahead of its call.
     m_fleet.NoteThroughput({ "ar0", 60'000, Duration{ 1015 }, true });
     m_fleet.NoteThroughput({ "ag", 30'000, Duration{ 1015 }, true });
   }
@@ -80,7 +83,8 @@
     return MustFind(m_fleet, aRequest);
   }
   /**
-   * Queues `aWork` at every prefill engine and makes every decode engine busy.
+   * Queues `aWork` units of prefill work at every prefill engine and makes
+   * every decode engine busy.
    */
   void LoadAll(std::int64_t aWork)
   {
@@ -161,7 +165,7 @@
   m_fleet.NoteSent("ar1", 12'000, kNow);
   PlaceRequest request = Long(5);
   request.m_movedPerMs = 0;
-  // The long target lets the prompt queue there.
+  // The long first-token target lets the prompt queue at `ar1`.
   request.m_shortestAim = Duration{ 2000 };
   const Place place = Must(request);
   // Prefilling the prefix again elsewhere would take 350 ms.
@@ -252,7 +256,8 @@
 {
   LoadAll(6'000);
   const Place first = Must(Short());
-  // Its prefill takes 50 ms, and pauses of 200 ms are allowed.
+  // Its prefill takes 50 ms, and the callers allow pauses of 200 ms in the
+  // streams that the decode engine produces meanwhile.
   EXPECT_TRUE(first.m_prefillEngine.empty());
   m_fleet.NoteSent("ag", 1'500, kNow);
   m_fleet.NoteSent("bg", 1'500, kNow);
@@ -268,7 +273,8 @@
   const PlaceResult result = idle.FindPlace(Long(5), kNow);
   const auto* place = std::get_if<Place>(&result);
   ASSERT_NE(place, nullptr);
-  EXPECT_EQ(place->m_upstream, "ag"); // No output is delayed there.
+  // The engine `ag` decodes no other call, so the prefill delays no output.
+  EXPECT_EQ(place->m_upstream, "ag");
   EXPECT_TRUE(place->m_prefillEngine.empty());
 }
 
@@ -280,7 +286,7 @@
   Occupy();
   for (std::uint32_t part = 1; part <= 40; ++part) {
     const Place place = Must(Long(part));
-    // This engine is changing roles and accepts no calls.
+    // The engine `ar0` is changing roles and accepts no calls.
     EXPECT_NE(place.m_prefillEngine, "ar0");
     EXPECT_NE(place.m_prefillEngine, "ar1");
   }
--- a/packages/relay/tests/FleetHerdTest.cpp
+++ b/packages/relay/tests/FleetHerdTest.cpp
@@ -5,8 +5,8 @@
 //
 // The numbers of engines, slots and instances are those of a deployment with
 // five data centres. There, an instance places some ten calls a second and
-// learns the loads of others a quarter of a second late, so some 600 calls are
-// placed on the same view.
+// learns the loads that other instances report a quarter of a second late, so
+// all instances together place some 600 calls by the same, outdated loads.
 
 #include "FleetFixture.h"
 
@@ -17,6 +17,7 @@
 namespace {
 
 constexpr int kEngines = 100;
+/** Number of calls that are placed by the same loads. */
 constexpr int kCallsOfOneView = 600;
 
 /**
--- a/packages/relay/tests/FleetSizeTest.cpp
+++ b/packages/relay/tests/FleetSizeTest.cpp
@@ -1,8 +1,8 @@
 // Guards against shutting out large prompts: admission must depend on the
 // queue, not on the prompt's own size. When prompts of 4,000 to 24,000 tokens
-// had their own prefill counted against the bound as well, behind queues of
-// some 95 ms, 0.16 of the attempts passed for the largest tenth and 0.84 for
-// the smallest.
+// had their own prefill counted against the admission bound on the first-token
+// time as well, behind queues of some 95 ms, 0.16 of the attempts were admitted
+// for the largest tenth of the prompts and 0.84 for the smallest tenth.
 //
 // The loads here are similar: engines prefill 60 to 400 tokens per ms, and
 // first-token targets are 150 to 700 ms.
@@ -14,6 +14,7 @@
 namespace ridgeferry::relay {
 namespace {
 
+/** Length of the shared prefix, in tokens. */
 constexpr std::int64_t kShared = 6300;
 
 Prompt
@@ -50,6 +51,7 @@
   return fault == nullptr ? nullptr : &fault->m_cause;
 }
 
+/** Queues `aWork` units of prefill work at every engine. */
 void
 LoadAll(Fleet& aFleet, std::int64_t aWork)
 {
@@ -61,6 +63,7 @@
   }
 }
 
+/** Whether prefill is disaggregated or colocated. */
 struct WayCase
 {
   const char* m_name;
--- a/packages/relay/tests/FleetTest.cpp
+++ b/packages/relay/tests/FleetTest.cpp
@@ -28,8 +28,9 @@
   }
 }
 
-// Another instance has read a newer state of the list and announced that the
-// member is leaving; this instance still reads the older row.
+// Another instance has read a newer state of the list of upstreams and
+// announced that the member is leaving; this instance still reads the older
+// row.
 TEST_F(FleetTest, AnOlderRowDoesNotTakeLeavingBack)
 {
   m_fleet.MarkLeaving({ "a" });
@@ -59,7 +60,8 @@
   const auto* fault = std::get_if<PlaceFault>(&full);
   ASSERT_NE(fault, nullptr);
   EXPECT_EQ(fault->m_cause,
-            // A place will become free, unlike without any members.
+            // The members are sound and only have too many connections open, so
+            // there will be room later. That would not be so without members.
             NoPlaceCause::Full);
   EXPECT_GT(fault->m_roomIn.count(), 0);
   m_fleet.NoteEnded("a", 0, AttemptEnd::Served, Duration{ 5 }, kNow);
@@ -126,8 +128,9 @@
     std::holds_alternative<Place>(m_fleet.FindPlace(request, kNow + kGrace)));
 }
 
-// Instances of a data centre report that its rows cannot have expired. Such a
-// bound shortens a grace period, and must never start or lengthen one.
+// When instances of a data centre report that the rows of its members cannot
+// have expired, the grace periods of these members are bounded. A bound may
+// shorten a grace period, and must never start or lengthen one.
 TEST_F(FleetTest, AGracePeriodIsBoundedForTheMembersOfOneDataCentre)
 {
   const std::string dataCentre = m_fleet.Find("b")->m_dataCentre;
@@ -247,9 +250,10 @@
   EXPECT_GE(used.size(), 4U);
 }
 
-// The number of running calls changes within seconds. If the affinity target of
-// a prefix changed with it, the prefix would have to be prefilled anew each
-// time.
+// The number of decode engines that are reserved, that is, prefill no long
+// prompts, depends on the number of running calls, which changes within
+// seconds. If the affinity target of a prefix changed with it, the prefix would
+// have to be prefilled anew each time.
 TEST_F(FleetTest, AffinityTargetsStayWhenMoreEnginesAreReserved)
 {
   std::map<std::uint64_t, std::string> before;
@@ -267,8 +271,8 @@
 }
 
 /**
- * Measured first-token times before a prompt is placed, where 50 ms were
- * expected.
+ * First-token times that were measured before a prompt is placed, each of which
+ * was expected to be 50 ms.
  */
 struct LateCase
 {
@@ -370,8 +374,11 @@
 }
 
 /**
- * A row for an id whose incarnation with start time 1,000 had announced that it
- * is leaving, and whether the member gets calls afterwards.
+ * A row for the id of a member that was leaving and had the start time 1,000.
+ * `m_born` is the start time in the row, `m_droppedBefore` whether the member
+ * was removed before the row is read, `m_order` how the row's incarnation
+ * relates to the known one, and `m_isUsed` whether the member gets calls
+ * afterwards.
  */
 struct IncarnationCase
 {
--- a/packages/relay/tests/FollowedTableTest.cpp
+++ b/packages/relay/tests/FollowedTableTest.cpp
@@ -7,12 +7,13 @@
 namespace ridgeferry::relay {
 namespace {
 
-/** The slice that a peer gets if it holds the table as of a version. */
+/** The slice of the table, with rows and removals, that a peer gets if it holds
+ * the table as of a version. */
 struct SinceCase
 {
   const char* m_name;
   std::uint64_t m_after; ///< Version that the peer holds.
-  bool m_whole;
+  bool m_whole;          ///< The slice contains the whole table.
   std::vector<FollowedRow> m_rows;
 };
 
--- a/packages/relay/tests/FollowerState.h
+++ b/packages/relay/tests/FollowerState.h
@@ -11,8 +11,9 @@
 namespace ridgeferry::relay {
 
 /**
- * The state of a follower that determines its next decisions on reading, as
- * numbers.
+ * Writes the state of a `TableFollower` as numbers, as far as it determines
+ * when and what the follower reads next, so that tests can recognise equal
+ * states.
  */
 class FollowerState
 {
@@ -40,7 +41,8 @@
     aNumbers.push_back(
       std::min(aFollower.m_startTries, TableFollower::kStartTries));
     aNumbers.push_back(aFollower.m_retry.count());
-    // After any longer time than this, the next read follows without a pause.
+    // If the last read was sent longer ago than `kLongestRetry`, the next read
+    // follows without a pause, so longer times make no difference.
     aNumbers.push_back(
       std::min(aNow - aFollower.m_askedAt, TableFollower::kLongestRetry)
         .count());
--- a/packages/relay/tests/FreshnessModel.cpp
+++ b/packages/relay/tests/FreshnessModel.cpp
@@ -9,7 +9,9 @@
 
 namespace {
 
+/** Length of a step of virtual time. */
 constexpr int kStepMs = 100;
+/** Minimum time that the store or a peer takes to answer. */
 constexpr int kAnswerMs = 100;
 /**
  * Time between two messages of an instance to all others. `kMessagesLostMs` is
@@ -351,9 +353,10 @@
     Take(aWho, ReadFailed{ "away" });
     return;
   }
-  // If the new generation is at the very version that was asked for, the store
-  // reveals it only in other calls, those for the lease and for the instance's
-  // own row. The model simplifies this: the read itself reveals it.
+  // If the new generation is at the very version that the read names as known,
+  // the store reveals the generation only in other calls, those for the lease
+  // and for the instance's own row. The model simplifies this: the read itself
+  // reveals it.
   const bool isNews = read.m_after != m_store.m_position;
   const bool isDue =
     m_now >= read.m_heldUntil || (isNews && m_now >= read.m_answersAt);
--- a/packages/relay/tests/FreshnessModel.h
+++ b/packages/relay/tests/FreshnessModel.h
@@ -47,7 +47,8 @@
  * A model of three instances that follow one table of one store in virtual
  * time; two of them are pollers. It runs the production class `TableFollower`
  * between stand-ins that act in fixed steps. All random delays take their
- * largest value. A plain value.
+ * largest value. The class has value semantics: a copy continues
+ * independently.
  */
 class FreshnessModel
 {
@@ -55,7 +56,7 @@
   static constexpr std::size_t kInstances = 3;
   /** Number of designated pollers. They are the first instances. */
   static constexpr std::size_t kPollers = 2;
-  /** An event may happen once in this time. */
+  /** Time between two moments at which an event may happen, in milliseconds. */
   static constexpr int kChoiceMs = 200;
 
   explicit FreshnessModel(Budget aBudget);
--- a/packages/relay/tests/FreshnessModelTest.cpp
+++ b/packages/relay/tests/FreshnessModelTest.cpp
@@ -18,14 +18,15 @@
 /** An accepted change must be in force within this time. */
 constexpr int kInForceMs = 2000;
 
-/** An event, and the link of the event before it. */
+/** An event, and the index in `m_links` of the event before it. */
 struct Link
 {
   std::size_t m_before = 0;
   ModelEvent m_event;
 };
 
-/** A state, and the path to it for the report of a fault. */
+/** A state, and the index in `m_links` of the event that led to it, from which
+ * the report of a fault lists the whole path. */
 struct Node
 {
   FreshnessModel m_model;
--- a/packages/relay/tests/LeavingUpstreamsTest.cpp
+++ b/packages/relay/tests/LeavingUpstreamsTest.cpp
@@ -7,14 +7,15 @@
 
 enum class Announcement
 {
-  ByList,
-  /** A peer announces an upstream that is listed here. */
+  ByList, ///< The list shows the upstream as leaving.
+  /** A peer announces an upstream that is in this instance's list. */
   ByPeer,
   ByPeerWithoutBirth,
   ByPeerOfAnotherIncarnation,
-  /** A peer announces an upstream that is not listed here, or no longer. */
+  /** A peer announces an upstream that is not in this instance's list, or no
+   * longer. */
   ByPeerUnlisted,
-  Gone,
+  Gone, ///< The upstream is no longer listed.
 };
 
 const UpstreamIncarnation kListed{ "engine-1", 1000 };
@@ -23,8 +24,8 @@
 {
   const char* m_name;
   std::vector<Announcement> m_announcements;
-  bool m_lastIsNew;
-  std::size_t m_announced;
+  bool m_lastIsNew;        ///< The last announcement must be acted on.
+  std::size_t m_announced; ///< Upstreams that this instance announces then.
 };
 
 class LeavingUpstreamsTest : public ::testing::TestWithParam<NewsCase>
--- a/packages/relay/tests/PlannedStopTest.cpp
+++ b/packages/relay/tests/PlannedStopTest.cpp
@@ -6,8 +6,8 @@
 
 constexpr Duration kGrace{ 8000 };
 
-/** The expected decisions at a time after the stop's signal, with a number of
- * calls still running. */
+/** The decisions that are expected at a time after the signal to stop, while a
+ * number of calls is still running. */
 struct StopCase
 {
   const char* m_name;
--- a/packages/relay/tests/PrefixCacheIndexTest.cpp
+++ b/packages/relay/tests/PrefixCacheIndexTest.cpp
@@ -12,7 +12,7 @@
 {
   const char* m_name;
   CachedSegment m_asked;
-  Duration m_age;
+  Duration m_age; ///< Time since the entry was recorded.
   bool m_isCached;
 };
 
--- a/packages/relay/tests/RemovedUpstreamsTest.cpp
+++ b/packages/relay/tests/RemovedUpstreamsTest.cpp
@@ -22,7 +22,9 @@
   return out;
 }
 
-/** An upstream that was removed, and a row that a restored copy contains. */
+/** The id and start time of an upstream that was removed, the start time in the
+ * row of `up` that a restored copy of the store still contains, and whether
+ * that row is held back. */
 struct CopyCase
 {
   const char* m_name;
@@ -78,8 +80,9 @@
   EXPECT_FALSE(m_gone.HoldBack(Listed(kBorn), At(RemovedUpstreams::kHold)));
 }
 
-// Guards against an upstream that is held back for ever: a second copy must not
-// restart the hold time, so neither must many copies in a row.
+// Guards against an upstream that is held back for ever: a second restoration
+// of the store from a copy must not restart the hold time, so neither must many
+// restorations in a row.
 TEST_F(HeldBackTest, FurtherCopyDoesNotRestartHoldTime)
 {
   EXPECT_TRUE(m_gone.HoldBack(Listed(kBorn), At(Duration{ 4000 })));
--- a/packages/relay/tests/RoleChangeControllerTest.cpp
+++ b/packages/relay/tests/RoleChangeControllerTest.cpp
@@ -36,8 +36,8 @@
     return m_controller.Handle(OrderAnswered{ aEngine, aAnswer }, m_now);
   }
   /**
-   * Takes a change up to the order, for an engine that has accepted four orders
-   * before.
+   * Drives a role change until the controller sends the order, for an engine
+   * that has accepted four orders before.
    */
   std::vector<RoleChangeAction> Order(const std::string& aEngine)
   {
@@ -105,13 +105,15 @@
   EXPECT_TRUE(m_controller.RoleUpdates().empty());
 }
 
-// The first order may arrive late, after the second one; it then names an
-// outdated count and is ignored.
+// An order names the number of orders that the engine must have accepted
+// before. If the first order arrives late, after the second one, that number is
+// outdated and the engine ignores the order.
 TEST_F(RoleChangeControllerTest, ALostOrderIsMadeAgainWithTheSameCount)
 {
   Order("e");
   Answer("e", OrderAnswer::Lost);
-  // The engine keeps the role that the list shows.
+  // No announced role update overrides the role that the list of upstreams
+  // shows.
   EXPECT_TRUE(m_controller.RoleUpdates().empty());
   EXPECT_EQ(m_controller.TargetOf("e"), UpstreamRole::Prefill);
   m_now += RoleChangeController::kOrderAgain;
@@ -154,7 +156,8 @@
   Want("e");
   m_now += RoleChangeController::kAnnounce;
   Tick();
-  Tick(false); // The right to order was lost while the engine was asked.
+  // The instance lost the right to order while it waited for the report.
+  Tick(false);
   EXPECT_EQ(Find<SendRoleOrder>(Report("e", UpstreamRole::Decode, false, 4)),
             nullptr);
 }
@@ -201,7 +204,7 @@
     wanted.m_changes.push_back(
       { "e" + std::to_string(i), UpstreamRole::Prefill });
   }
-  // There is one announcement for all changes.
+  // One `AnnounceRoleUpdates` action announces all changes.
   EXPECT_EQ(m_controller.Handle(wanted, m_now).size(), 1U);
   m_now += RoleChangeController::kAnnounce;
   std::set<std::string> asked;
@@ -221,8 +224,9 @@
 }
 
 /**
- * Simulates an engine whose answers get lost and whose orders arrive late. It
- * carries out an order only if the order names its current count.
+ * Simulates an engine whose answers get lost and whose orders arrive late. The
+ * engine carries out an order only if the order names the number of orders that
+ * it has carried out so far.
  */
 TEST_F(RoleChangeControllerTest,
        WhateverIsLostTheEngineFollowsEachOrderOnceAtMost)
@@ -287,9 +291,9 @@
   }));
 }
 
-// The engine restarts while its order is unanswered, so its count starts from
-// zero. Guards against taking its role as a sign that the order was carried
-// out.
+// The engine restarts while its order is unanswered, so its number of accepted
+// orders starts from zero. Guards against taking its role as a sign that the
+// order was carried out.
 TEST_F(RoleChangeControllerTest,
        AnOrderToAnEarlierIncarnationIsNotCountedForALaterOne)
 {
@@ -309,8 +313,8 @@
   EXPECT_NE(Find<AnnounceRoleUpdates>(report(2000, 0)), nullptr);
   EXPECT_EQ(m_controller.TargetOf("e"), std::nullopt);
   EXPECT_TRUE(m_controller.RoleUpdates().empty());
-  // The later incarnation gets no order until a change is requested anew, and
-  // then the order names its own count.
+  // The later incarnation gets no order until a change is requested anew. That
+  // order names the number of orders that this incarnation has accepted.
   m_now += RoleChangeController::kOrderAgain;
   EXPECT_EQ(Find<AskReport>(Tick()), nullptr);
   Want("e");
--- a/packages/relay/tests/RoutesTest.cpp
+++ b/packages/relay/tests/RoutesTest.cpp
@@ -68,7 +68,8 @@
     FindCase{ "PathOfAnotherHost", "b.example", "/tiles/5", "all" }),
   [](const auto& aInfo) { return std::string(aInfo.param.m_name); });
 
-/** A random number and the service that it selects. */
+/** A random number from 0 to 1, and the service that it selects by the weights
+ * of the route. */
 struct DrawCase
 {
   const char* m_name;
--- a/packages/relay/tests/StoreCopyWorldTest.cpp
+++ b/packages/relay/tests/StoreCopyWorldTest.cpp
@@ -1,7 +1,8 @@
 // Simulates followers of a store that is restored from older copies, in virtual
-// time. Each follower meets the next generation at a different moment, messages
-// and answers are lost or late, and rows that the restored copy lacks are
-// written again some time later.
+// time. Each restoration starts a new generation of the store. Each follower
+// meets the next generation at a different moment, messages and answers are
+// lost or late, and rows that the restored copy lacks are written again some
+// time later.
 
 #include "Positions.h"
 
@@ -53,6 +54,7 @@
 public:
   static constexpr std::size_t kPollers = 2;
   static constexpr int kStepMs = 5;
+  /** Time between two messages of an instance to all others. */
   static constexpr int kMessageIntervalMs = 70;
   static constexpr int kTickMs = 200;
   /** Longest time that a read or an answer takes to arrive, in milliseconds. */
@@ -400,10 +402,10 @@
 constexpr int kInForceMs = 1500;
 /**
  * Changes accepted before the outage must be in force three seconds after the
- * store's return, less a margin as above. If the store's counter is back at the
- * very version that an instance has read, the store holds that instance's next
- * read for the full time, because it cannot tell that the version belongs to
- * another generation.
+ * store's return, less a margin as above. If the store's version counter is
+ * back at the very version that an instance has read, the store holds that
+ * instance's next read for the full time, because it cannot tell that the
+ * version belongs to another generation.
  */
 constexpr int kBehindReturnMs = 2700;
 /** Longest time until a held read that was lost counts as failed. */
--- a/packages/relay/tests/StoreGenerationTest.cpp
+++ b/packages/relay/tests/StoreGenerationTest.cpp
@@ -1,4 +1,5 @@
-// Followers of a store that was restored from an older copy.
+// Tests `TableFollower` with a store that was restored from an older copy,
+// which starts a new generation of the store.
 
 #include "Positions.h"
 
@@ -49,8 +50,11 @@
                     OrderCase{ "SameVersion", { 1, 7 }, { 2, 7 } }),
   [](const auto& aInfo) { return std::string(aInfo.param.m_name); });
 
+/** Position of the table before the store is restored. */
 constexpr StorePosition kHeld = PositionAt(54);
+/** Generation of the restored store. */
 constexpr StoreGeneration kNext = kOnlyGeneration + 1;
+/** Position of the restored store. */
 constexpr StorePosition kOfCopy{ kNext, 30 };
 
 enum class State
@@ -172,7 +176,8 @@
   ASSERT_EQ(apply->m_rows.size(), 2U);
   EXPECT_EQ(apply->m_rows[0].m_value, "1");
   EXPECT_TRUE(apply->m_rows[1].m_removed);
-  // The row may come back, although no read has failed.
+  // A row that the copy lacks may be written again, so its removal gets a grace
+  // period although no read has failed.
   EXPECT_EQ(apply->m_graceUntil,
             Instant{ Duration{ 10 } + ExpiryGrace::kGracePeriod });
   EXPECT_EQ(m_follower.Position(), kOfCopy);
@@ -224,7 +229,7 @@
 
 // Guards against waiting for a read that was lost with the previous generation.
 // An instance that has just stopped polling still has a held read under way;
-// that read must not keep it from asking.
+// that read must not keep it from asking a peer.
 TEST_F(OlderCopyTest, ReadUnderWayIsCancelled)
 {
   Handle(TableRead{ {}, kHeld });
@@ -274,7 +279,7 @@
   Handle(TableRead{ { { "a", "2", false, 50 } }, kHeld });
   const auto seen = Handle(PeerIsAhead{ kOfCopy }, 10);
   EXPECT_NE(Find<ReadTable>(seen), nullptr);
-  // The store usually answers within that time, so no peer is needed.
+  // The store usually answers within `kBehindTimeout`, so no peer is needed.
   EXPECT_TRUE(Handle(PeerIsAhead{ kOfCopy }, 110).empty());
   EXPECT_TRUE(Handle(PeerIsAhead{ kOfCopy }, 109 + kBehind).empty());
   const auto asks = Handle(PeerIsAhead{ kOfCopy }, 110 + kBehind);
@@ -294,8 +299,8 @@
   const char* m_name;
   /** std::nullopt if the copy has no such row. */
   std::optional<std::string> m_copy;
-  StorePosition m_position;
-  std::size_t m_told; ///< Number of rows reported as different.
+  StorePosition m_position; ///< Position of the table read from the copy.
+  std::size_t m_told;       ///< Number of rows reported as different.
   /** The value that a peer gets afterwards; empty if it gets no row. */
   std::string m_kept;
 };
--- a/packages/relay/tests/TableFollowerPeersTest.cpp
+++ b/packages/relay/tests/TableFollowerPeersTest.cpp
@@ -333,7 +333,8 @@
   std::size_t m_picked = 0;
   std::size_t m_standbyReads = 0;
   /**
-   * True while no row was reported whose version is higher than its table's.
+   * True as long as no follower has reported a row whose version is higher than
+   * the version of the follower's table.
    */
   bool m_isOrderly = true;
   Instant m_now{};
--- a/packages/relay/tests/TableFollowerTest.cpp
+++ b/packages/relay/tests/TableFollowerTest.cpp
@@ -92,9 +92,10 @@
 }
 
 /**
- * A removal that is read after an outage. The first answer after the outage
- * comes at 2,000 ms. `m_untilMs` is until when the row may only have expired; 0
- * if it is gone.
+ * A removal of a row that is read after an outage of the store. The first
+ * answer after the outage comes at 2,000 ms. `m_untilMs` is the end of the
+ * grace period in which the row may merely have expired; 0 if there is none, so
+ * that the removal is final.
  */
 struct RowExpiryCase
 {
@@ -109,8 +110,9 @@
 {};
 
 // Guards against a grace period that depends on when the removal is read.
-// Removals are final again three seconds after the store's return, and the
-// return is at most one unanswered read before the first answer.
+// Removals are final again three seconds after the store's return. The store
+// returned at most `kResponseMargin`, the time-out of one unanswered read,
+// before its first answer.
 TEST_P(RowExpiryTest, GracePeriodEndDoesNotDependOnReadTime)
 {
   Handle(TableRead{ { { "a", "1" } }, PositionAt(1) });
@@ -161,20 +163,22 @@
   ASSERT_NE(Find<ReadChanges>(back), nullptr);
   EXPECT_EQ(Find<ReadChanges>(back)->m_wait, TableFollower::kPollWait);
   EXPECT_TRUE(Handle(PollingChanged{ true }).empty());
-  // The timer set for standby fires too late.
+  // The timer that was set for standby has no effect once standby has ended.
   EXPECT_TRUE(Handle(RetryDue{}).empty());
 }
 
 /**
- * Reports of a peer, and how often the read is cancelled and sent again because
- * of them.
+ * The versions that a peer announces while the instance's own read of the store
+ * is unanswered, and how often that read is cancelled and sent again because of
+ * them. The instance holds version 9.
  */
 struct PeerCase
 {
   const char* m_name;
-  /** Time in milliseconds, and the version reported then. */
+  /** Time of each announcement in milliseconds, and the version that the peer
+   * announces as read. */
   std::vector<std::pair<int, std::uint64_t>> m_told;
-  std::size_t m_dropped;
+  std::size_t m_dropped; ///< Number of reads that are cancelled.
 };
 
 class PeerTest
@@ -213,8 +217,9 @@
               2 }),
   [](const auto& aInfo) { return std::string(aInfo.param.m_name); });
 
-// After a loss of all instances, the first ones that have read the table report
-// it to all others. This must not cancel the whole reads of the others.
+// When all instances start anew, the first ones that have read the table
+// announce its version to all others. The announcement must not cancel the
+// reads of the whole table that the other instances have under way.
 TEST_F(TableFollowerTest, PeerReportDoesNotCancelWholeRead)
 {
   Handle(FollowStarted{});
@@ -244,10 +249,12 @@
 {
   const char* m_name;
   /**
-   * Spans of time, in milliseconds, in which peers report steady reads every
-   * 300 ms.
+   * Spans of time, in milliseconds, in which peers report every 300 ms that
+   * their own reads are steady (see `ExpiryGrace::IsSteady`).
    */
   std::vector<std::pair<int, int>> m_steady;
+  /** Whether the removed row may merely have expired, so that the removal gets
+   * a grace period. */
   bool m_mayHaveExpired;
 };
 
--- a/packages/roles/tests/RolePlannerTest.cpp
+++ b/packages/roles/tests/RolePlannerTest.cpp
@@ -27,9 +27,9 @@
 {
   const char* m_name;
   const char* m_fleet;
-  double m_share; ///< Forecast share of prefill.
-  int m_lastsSeconds;
-  double m_weight;
+  double m_share;     ///< Forecast share of prefill.
+  int m_lastsSeconds; ///< How long the forecast lasts.
+  double m_weight;    ///< The deployment's `roleChangeWeight`.
   std::vector<RoleChange> m_changes;
 };
 
--- a/packages/routing/include/ridgeferry/routing/CallFlow.h
+++ b/packages/routing/include/ridgeferry/routing/CallFlow.h
@@ -22,7 +22,8 @@
   bool m_generation = false;      ///< The answer is a model's output.
   bool m_stream = false;          ///< The caller receives each token at once.
   bool m_repeatable = true;       ///< The call may run more than once.
-  std::uint64_t m_resumeFrom = 0; ///< Number of tokens that the caller has.
+  std::uint64_t m_resumeFrom = 0; ///< Number of tokens that the caller already
+                                  ///< has from an earlier connection.
 };
 
 /** A position in the output stream of an engine. The `id` field of each
@@ -54,7 +55,7 @@
   StreamPosition m_position;
   std::string m_address;
 };
-/** The call's key is claimed, so the call may be sent. */
+/** The call's idempotency key is claimed, so the call may be sent. */
 struct ClaimWon
 {};
 /** The key could not be claimed, so the call must not be sent. */
@@ -119,7 +120,8 @@
   std::uint64_t m_tokens = 0; ///< Length of the whole output.
   std::string m_reason;       ///< Why the engine stopped.
 };
-/** A complete answer of a service, or of a prefill engine. */
+/** A complete answer arrived, either from an upstream that is not an LLM engine
+ * or from an engine that did only the prefill. */
 struct AnswerArrived
 {
   AttemptId m_attempt = 0;
@@ -286,7 +288,8 @@
  *    For a claimed call, its row in the claim table must also say so.
  *
  * The class performs no input or output: `Handle` takes events and returns the
- * actions that the driver must carry out. Not thread-safe.
+ * actions that the driver, the code that does the input and output of the call,
+ * must carry out. Not thread-safe.
  */
 class CallFlow
 {
--- a/packages/routing/include/ridgeferry/routing/Chooser.h
+++ b/packages/routing/include/ridgeferry/routing/Chooser.h
@@ -8,8 +8,8 @@
 
 namespace ridgeferry::routing {
 
-/** Chooses any upstream with room. Benchmarks use this policy as the
- * baseline. */
+/** Chooses any upstream that has a slot free for the call. Benchmarks use this
+ * policy as the baseline. */
 struct RandomChoice
 {};
 /** Chooses the upstream with the least load by its own report. */
@@ -58,7 +58,7 @@
 /**
  * Returns an upstream of the pool that has room for one more call;
  * `std::nullopt` if none has room. The result depends only on the arguments.
- * Not thread-safe.
+ * Not thread-safe: `aUpstreams` must not change during the call.
  */
 std::optional<UpstreamIndex>
 Choose(const ChoicePolicy& aPolicy,
--- a/packages/routing/include/ridgeferry/routing/Problem.h
+++ b/packages/routing/include/ridgeferry/routing/Problem.h
@@ -22,10 +22,12 @@
   NoUpstream,        ///< No upstream exists that may serve the call.
   DeadlineExceeded,
   UpstreamFailed, ///< The upstream failed, and the call was not retried.
-  ClaimOpen,      ///< An earlier call with this key may be running.
-  KeyReused,      ///< The key was used before for a different call.
-  /** The claim store does not answer, so calls that must not be repeated cannot
-   * be accepted. */
+  ClaimOpen,      ///< An earlier call with this idempotency key may be
+                  ///< running.
+  KeyReused,      ///< The idempotency key was used before for a different
+                  ///< call.
+  /** The claim store, in which the idempotency keys of calls are claimed, does
+   * not answer, so calls that must not be repeated cannot be accepted. */
   ClaimStoreDown,
   Stopping, ///< This instance is stopping; another one can serve it.
   NotReady,
--- a/packages/routing/include/ridgeferry/routing/RetryBudget.h
+++ b/packages/routing/include/ridgeferry/routing/RetryBudget.h
@@ -15,7 +15,9 @@
   static constexpr double kPerCall = 0.2; ///< Retries that each call adds.
   /** Maximum number of unused retries. */
   static constexpr double kMaxAvailable = 20;
+  /** Maximum wait before the first retry, in milliseconds. */
   static constexpr Duration kFirstBackoff{ 20 };
+  /** Upper bound of the wait before any retry, in milliseconds. */
   static constexpr Duration kLongestBackoff{ 1000 };
 
   /** Records a new call, which adds `kPerCall` retries to the budget. */
--- a/packages/routing/include/ridgeferry/routing/UpstreamSet.h
+++ b/packages/routing/include/ridgeferry/routing/UpstreamSet.h
@@ -12,10 +12,11 @@
 
 namespace ridgeferry::routing {
 
+/** The kind of an upstream. */
 enum class UpstreamKind : std::uint8_t
 {
-  Engine,
-  Service,
+  Engine,  ///< An LLM inference engine.
+  Service, ///< A plain service, which has neither models nor phases.
 };
 
 /** An upstream as the platform lists it. */
@@ -52,7 +53,8 @@
   Instant m_reportedAt;
   /** Calls of this instance that the upstream is running. */
   std::int64_t m_ownInFlight = 0;
-  /** Calls that this instance has sent since the report and that run. */
+  /** Calls that this instance has sent since `m_reportedAt` and that have not
+   * ended. */
   std::int64_t m_sentSinceReport = 0;
   /** The platform's list, the upstream itself or a peer has announced that the
    * upstream is leaving. */
@@ -69,7 +71,9 @@
 /** The phase of a call that an upstream serves. */
 enum class Phase : std::uint8_t
 {
-  Whole,   ///< The whole call: of a service, or both prefill and decode.
+  /** The whole call. On an LLM engine, this is both prefill and decode. Calls
+   * to upstreams that are not LLM engines always use this phase. */
+  Whole,
   Prefill, ///< Only the prefill, which returns a KV handle.
   Decode,  ///< Only the decode, which starts from a KV handle.
 };
@@ -101,7 +105,8 @@
   static constexpr int kFailuresToEject = 3;
   /** How long an upstream stays ejected, in milliseconds. */
   static constexpr Duration kEjectionTime{ 2000 };
-  /** Slots of an upstream that has sent no report, such as a service. */
+  /** Number of calls that an upstream without a report, such as a service, is
+   * assumed to run at the same time. */
   static constexpr std::int64_t kServiceSlots = 64;
 
   /** Replaces the list of upstreams. The state of an upstream that is still
--- a/packages/routing/src/Chooser.cpp
+++ b/packages/routing/src/Chooser.cpp
@@ -108,8 +108,9 @@
   }
 
 private:
-  /** Added to the bound, because the mean load of an idle pool is 0 and no
-   * upstream with any load would be allowed. */
+  /** Load, as a fraction of the slots, that is added to the limit for the
+   * affinity target. Without it, no upstream with any load would be allowed in
+   * an otherwise idle pool, whose mean load is near 0. */
   static constexpr double kAlwaysAllowed = 0.25;
 
   std::optional<UpstreamIndex> FirstWithRoomFrom(std::uint64_t aStart) const
