--- a/packages/authority/include/ridgeferry/authority/Lease.h
+++ b/packages/authority/include/ridgeferry/authority/Lease.h
@@ -210,6 +210,10 @@
                     Instant aNow,
                     Actions& aActions);
   void OnResign(Instant aNow, Actions& aActions);
+  /**
+   * Records the lease row that was read: `aLease` is the row as stored, with
+   * its version, and `aRow` is its decoded content.
+   */
   void NoteRow(const table::Row& aLease, const LeaseRow& aRow, Instant aNow);
   void Confirm(const OpenWrite& aWrite, Instant aNow, Actions& aActions);
   void Drop(Actions& aActions);
--- a/packages/authority/tests/LeaseCopyTest.cpp
+++ b/packages/authority/tests/LeaseCopyTest.cpp
@@ -226,8 +226,9 @@
 constexpr int kSecond = 1000 / static_cast<int>(World::kStep.count());
 
 // Guards against two holders at the same time and against a fencing number that
-// is used twice. The store is restored up to three times from a copy that is 0
-// to 10 s old or older, while processes are cut off, end and start.
+// is used twice. The store is restored up to three times from its last copy,
+// while processes are cut off, end and start. A copy made since the previous
+// restoration is up to 10 s old; if none was made, the copy is older.
 TEST(LeaseCopyWorldTest, AtMostOneHoldsAndItsFencingNumberIsTheHighest)
 {
   std::size_t acquisitions = 0;
--- a/packages/authority/tests/PlannerWorldTest.cpp
+++ b/packages/authority/tests/PlannerWorldTest.cpp
@@ -107,9 +107,10 @@
 }
 
 // Searches exhaustively, not by random sampling, for two orders that conflict:
-// executes every run with one deviation, and every run with two deviations in
-// different positions of the list of those that interrupt the sending of an
-// order (a kill, a pause before sending, a delayed message).
+// executes every run with one deviation, and every run with two of the
+// deviations that interrupt the sending of an order (a kill, a pause before
+// sending, a delayed message). The two differ in their kind, their round or
+// both; of two in the same round only the first is injected.
 TEST_P(PlannerWorldTest, KeepsOrdersFromConflictingWhateverTwoThingsGoWrong)
 {
   using Deviation = PlannerWorld::Deviation;
--- a/packages/claims/include/ridgeferry/claims/Claim.h
+++ b/packages/claims/include/ridgeferry/claims/Claim.h
@@ -46,7 +46,11 @@
   bool operator==(const ClaimRow&) const = default;
 };
 
-/** Maximum size of a body that is recorded for a retry, in bytes. */
+/**
+ * Maximum size, in bytes, of an answer body that is recorded in the claim row,
+ * so that a caller who retries gets the same answer. A longer body is left out;
+ * see `RecordedAnswer::m_truncated`.
+ */
 inline constexpr std::size_t kMaxRecordedBody = std::size_t{ 16 } * 1024;
 
 std::string
--- a/packages/claims/src/Claim.cpp
+++ b/packages/claims/src/Claim.cpp
@@ -163,8 +163,8 @@
 Outcome
 Claim::KnownOutcome() const
 {
-  // An outcome that is not recorded cannot be promised, except `Ran`: its
-  // answer has arrived.
+  // Until the row records the outcome, `NotRun` cannot be promised to the
+  // caller. `Ran` can, because the upstream's answer has arrived.
   return m_row.m_state == ClaimState::Ran ? Outcome::Ran : Outcome::MayHaveRun;
 }
 
@@ -227,7 +227,8 @@
       return Read();
     case table::CommitResult::NotWritten:
       // While claiming, the attempt can be refused at once because the call has
-      // not been sent. A known end is worth further tries.
+      // not been sent. While recording, the write is tried again, because an
+      // open row would answer every retry with "may have run".
       return m_step == Step::Claiming ? GiveUp() : Read();
   }
   return GiveUp();
@@ -244,8 +245,8 @@
   }
   m_version = aRead.m_result.m_row.m_version;
   if (m_version == 0) {
-    // The row does not exist yet. It is written again under the same id; if
-    // both writes arrive, only one can commit.
+    // The row does not exist yet. It is written again with the same attempt
+    // id; if both writes arrive, only one can commit.
     return Write();
   }
   const auto row = DecodeClaim(aRead.m_result.m_row.m_value);
@@ -283,7 +284,8 @@
 Claim::OnReadWhileRecording(const ClaimRow& aRow)
 {
   if (aRow.m_claim != m_row.m_claim) {
-    // The row said "not run", and another attempt has claimed the key since.
+    // An earlier write of this attempt recorded "not run", and another attempt
+    // has claimed the key since.
     return Finish(m_row.m_state == ClaimState::Ran ? Outcome::Ran
                                                    : Outcome::NotRun);
   }
--- a/packages/config/include/ridgeferry/config/Committer.h
+++ b/packages/config/include/ridgeferry/config/Committer.h
@@ -43,8 +43,9 @@
   table::Transaction m_transaction;
 };
 /**
- * Reads the row of the revision after the answer to `WriteChange` was lost. The
- * id in the row shows whose change holds the revision.
+ * Reads the row of the change's revision, because the answer to `WriteChange`
+ * was lost. The id in the row shows which change was committed as this
+ * revision.
  */
 struct ReadChangeRow
 {
@@ -54,8 +55,8 @@
 {
   SubmitResult m_result = SubmitResult::Unknown;
   /**
-   * Revision of this change if it was accepted; the table's revision if it was
-   * found stale before the write; else 0.
+   * Revision of this change if it was accepted; the revision in the head row if
+   * the change was found stale before the write; else 0.
    */
   Revision m_revision = 0;
 };
@@ -63,16 +64,20 @@
   std::variant<ReadHead, WriteChange, ReadChangeRow, SubmitDone>;
 
 /**
- * Commits one change to the table. It reads the head and writes the change row
- * and the new head in one transaction. If the answer is lost, it reads the
- * change row again to find the result and never writes again. If another change
- * is committed first, the submission ends as `Stale`, and the caller must check
- * its change against the newer configuration before it submits again. A pure
- * state machine for one submission; not thread-safe.
+ * Commits one change to the table. It reads the head row (see `Head`), and
+ * writes the change row and the new head row in one transaction. If the answer
+ * is lost, it reads the change row again to find the result and never writes
+ * again. If another change is committed first, the submission ends as `Stale`,
+ * and the caller must check its change against the newer configuration before
+ * it submits again. A pure state machine for one submission; not thread-safe.
  */
 class Committer
 {
 public:
+  /**
+   * Number of reads of the change row without a result after which the
+   * submission ends as `Unknown`.
+   */
   static constexpr int kMaxSettleReads = 5;
 
   /**
--- a/packages/config/include/ridgeferry/config/Replica.h
+++ b/packages/config/include/ridgeferry/config/Replica.h
@@ -72,13 +72,14 @@
  * One process's copy of the configuration.
  *
  * Invariants: the revision in force never decreases. Changes are applied in the
- * order of their revisions without a gap. Every revision that a peer or the
- * table announces is fetched until it is in force. A pure state machine; not
- * thread-safe.
+ * order of their revisions without a gap. If the table or a peer announces a
+ * revision higher than the one in force, changes are fetched repeatedly until
+ * that revision is in force. A pure state machine; not thread-safe.
  */
 class Replica
 {
 public:
+  /** Time after which a fetch that was not answered is repeated. */
   static constexpr Duration kFetchTimeout{ 1500 };
 
   std::vector<ReplicaAction> Handle(const ReplicaEvent& aEvent, Instant aNow);
--- a/packages/config/src/Committer.cpp
+++ b/packages/config/src/Committer.cpp
@@ -79,7 +79,8 @@
     if (found && found->m_id == m_change.m_id) {
       return SubmitDone{ SubmitResult::Accepted, m_change.m_revision };
     }
-    // The revision belongs to another change, so this one can never commit.
+    // Another change was committed as this revision, so this change can never
+    // commit.
     return SubmitDone{ SubmitResult::Stale, 0 };
   }
   // The row is unreadable or does not exist yet. A missing row proves nothing,
--- a/packages/membership/include/ridgeferry/membership/Roster.h
+++ b/packages/membership/include/ridgeferry/membership/Roster.h
@@ -55,7 +55,7 @@
 /** A shared prompt prefix segment that an engine was ordered to prefill. */
 struct PrefillDigest
 {
-  std::uint32_t m_part = 0;
+  std::uint32_t m_part = 0;   ///< `m_key` of the `relay::PrefixSegment`.
   std::uint32_t m_engine = 0; ///< Hash of the engine's id.
   bool operator==(const PrefillDigest&) const = default;
 };
@@ -224,13 +224,17 @@
   Duration m_maxRoundToAll = Duration::max();
   Duration m_remoteHeartbeatEvery{ 2400 };
   /**
-   * Number of missed heartbeats after which a peer counts as dead for the
-   * sharing of limits and for ranks. `m_remoteDeadAfterMissed` applies instead
-   * to peers in other data centres while heartbeats are sent by data centre.
+   * Number of missed heartbeats after which a peer counts as dead: `LiveCount`,
+   * by which the instances share limits, and `Rank` leave it out.
+   * `m_remoteDeadAfterMissed` applies instead to peers in other data centres
+   * while heartbeats are sent by data centre.
    */
   int m_deadAfterMissed = 4;
   int m_remoteDeadAfterMissed = 4;
-  /** Time without a heartbeat after which an unlisted peer is removed. */
+  /**
+   * Time without a heartbeat after which a peer is removed if it is not in the
+   * platform's list.
+   */
   Duration m_forgetAfter{ 60'000 };
 };
 
@@ -322,7 +326,8 @@
   /** Number of peers in the own data centre. */
   std::ptrdiff_t m_peersInOwnDataCentre = 0;
   /**
-   * Selects the instance of each other data centre that receives the next sums.
+   * Selects the instance of each other data centre that receives the next
+   * summed loads.
    */
   std::size_t m_recipientTurn = 0;
 };
--- a/packages/membership/include/ridgeferry/membership/StorePollers.h
+++ b/packages/membership/include/ridgeferry/membership/StorePollers.h
@@ -26,6 +26,7 @@
 class StorePollers
 {
 public:
+  /** Number of pollers in each data centre. */
   static constexpr std::size_t kInDataCentre = 2;
   /**
    * Number of heartbeat intervals within which a heartbeat of a peer must have
--- a/packages/membership/tests/RosterTest.cpp
+++ b/packages/membership/tests/RosterTest.cpp
@@ -164,8 +164,8 @@
   }
 
   /**
-   * Runs one tick of every instance. One message in `aLostOneIn` is lost; with
-   * 0 none is.
+   * Runs one tick of every instance. One message in `aLostOneIn` is lost; if it
+   * is 0, no message is lost.
    */
   void Step(int aLostOneIn)
   {
@@ -188,8 +188,8 @@
   }
 
   /**
-   * Returns the ages of the latest sums that each instance has received from
-   * each other data centre, in ascending order.
+   * Returns the ages of the latest summed loads that each instance has received
+   * from each other data centre, in ascending order.
    */
   std::vector<Duration> Ages() const
   {
@@ -231,7 +231,9 @@
 
   int m_dataCentres;
   std::vector<Roster> m_rosters;
-  /** Time of the latest sums, by receiving instance and data centre. */
+  /**
+   * Time of the latest summed loads, by receiving instance and data centre.
+   */
   std::vector<std::vector<Instant>> m_heardOf;
   std::size_t m_sent = 0;
   Instant m_now = kStart;
--- a/packages/quarantine/include/ridgeferry/quarantine/Quarantine.h
+++ b/packages/quarantine/include/ridgeferry/quarantine/Quarantine.h
@@ -59,7 +59,7 @@
 };
 
 /**
- * Records under which calls upstreams crashed, and decides which of these calls
+ * Records which calls upstreams ran when they crashed, and decides which calls
  * are quarantined, that is, are sent to no upstream any more.
  *
  * A call is quarantined once `kCrashesToQuarantine` distinct incarnations of
@@ -85,9 +85,9 @@
 public:
   /**
    * Number of crashes after which a call is quarantined. One crash may be
-   * chance, and in two crashes the call may have run beside the real cause by
-   * coincidence. Each further crash would cost whatever else runs on one more
-   * upstream.
+   * chance, and in two crashes the call may by coincidence have run at the same
+   * time as the real cause. Each further crash would cost whatever else runs on
+   * one more upstream.
    */
   static constexpr std::size_t kCrashesToQuarantine = 3;
   /**
@@ -224,8 +224,13 @@
    * there is none.
    */
   static bool ForgetCleared(Call& aCall);
+  /** Returns how long after its last crash the call stays recorded. */
   static Duration KeptFor(const Call& aCall);
   void MakeRoom();
+  /**
+   * Evicts the call whose last crash is the oldest, among the quarantined calls
+   * if `aHeld`, else among those that are not quarantined.
+   */
   void ForgetOldest(bool aHeld);
 
   Calls m_calls;
--- a/packages/quarantine/tests/QuarantineTest.cpp
+++ b/packages/quarantine/tests/QuarantineTest.cpp
@@ -20,7 +20,8 @@
 constexpr Duration kApart = Quarantine::kCommonCauseWindow;
 
 /**
- * Records crashes of three upstreams under the call, the last one at `aLast`.
+ * Records that three upstreams crashed while they ran the call, the last one at
+ * `aLast`.
  */
 void
 EndThree(Quarantine& aQuarantine, Duration aLast)
--- a/packages/quarantine/tests/QuarantineWorldTest.cpp
+++ b/packages/quarantine/tests/QuarantineWorldTest.cpp
@@ -29,8 +29,10 @@
  * long a call goes on crashing upstreams.
  */
 constexpr Duration kLateAfter{ 3000 };
+/** Maximum number of crash records that an instance takes from another one. */
 constexpr std::size_t kMostTold = 100;
 constexpr int kMostLateRuns = 3;
+/** Time from the crash of an upstream until it runs again. */
 constexpr Duration kUpstreamsBackAfter{ 4000 };
 /**
  * Minimum time between two test runs of a call whose quarantine is doubted. The
@@ -55,7 +57,7 @@
   Duration m_runsFor{ 100 };
   Duration m_messageDelay{ 5 }; ///< Delay of a message between instances.
   double m_lost = 0;            ///< Share of messages that are lost.
-  /** Interval at which one instance restarts; with 0 none does. */
+  /** Interval at which one instance restarts; if 0, no instance restarts. */
   Duration m_restartEvery{};
   Duration m_length{ 20'000 };
 };
@@ -167,7 +169,8 @@
 
   /**
    * Returns whether the instance may test a call whose quarantine is doubted.
-   * One instance may at a time, here the first, and with one run at a time.
+   * Only one instance may do so at a time (in this simulation always the
+   * first), and only with one run at a time.
    */
   bool MayTry(std::size_t aInstance)
   {
