--- a/packages/entry/include/ridgeferry/entry/EntrySettings.h
+++ b/packages/entry/include/ridgeferry/entry/EntrySettings.h
@@ -40,7 +40,9 @@
    * even if calls are still running. */
   Duration m_stopGrace{ 8000 };
   RetryBounds m_retries;
-  /** Shortest time between the orders that two instances send to engines. */
+  /** Shortest time between the last order that one instance sends to engines
+   * and the first order of the instance that succeeds it as holder of the
+   * lease that permits orders. */
   Duration m_orderTurn{ 3000 };
   /** Whether calls during which upstreams crash are quarantined, that is, sent
    * to no further upstream. */
--- a/packages/entry/src/Entry.cpp
+++ b/packages/entry/src/Entry.cpp
@@ -18,8 +18,8 @@
 namespace {
 
 /** Interval at which grace periods, changes of the settings file and the
- * progress of a planned stop are checked. It is well below the bounds of
- * seconds that these must keep. */
+ * progress of a planned stop are checked. It is well below the times of some
+ * seconds within which each of these must take effect. */
 constexpr Duration kTick{ 200 };
 constexpr int kOk = 200;
 constexpr int kUnavailable = 503;
@@ -89,12 +89,16 @@
   void WatchSignals();
   void TakeConfig(const relay::ApplyRows& aRows);
   void TakeConfigRow(const relay::FollowedRow& aRow);
-  /** Decides for `relay::KeepsKnown` whether a known row outlasts an older copy
-   * of the store: an older configuration never replaces a newer one. */
+  /** Serves as `relay::KeepsKnown`: returns whether the known configuration row
+   * is retained after the store was restored from an older copy. An older
+   * configuration never replaces a newer one. */
   bool KeepsConfig(std::string_view aKey,
                    std::string_view aKnown,
                    const std::string* aTold);
   void TakeMembers(const relay::ApplyRows& aRows);
+  /** Applies a row of an upstream. For `aLapsesUntil` see `Fleet::Drop`.
+   * `aIsCopy` is true if the store was restored from an older copy, from which
+   * the row was read. */
   void TakeMember(const relay::FollowedRow& aRow,
                   std::optional<Instant> aLapsesUntil,
                   bool aIsCopy);
@@ -249,7 +253,8 @@
       { { "upstream", aRow.m_key },
         { "version", static_cast<std::int64_t>(aRow.m_version) },
         { "faults", FaultsText(member.error()) } });
-    // Another writer has overwritten the upstream's own row.
+    // Another writer has overwritten the row that the upstream wrote, so the
+    // row counts as removed.
     TakeRemoval(aRow.m_key, std::nullopt);
     return;
   }
--- a/packages/entry/src/EntrySettings.cpp
+++ b/packages/entry/src/EntrySettings.cpp
@@ -9,8 +9,8 @@
 namespace {
 
 constexpr double kLongestGraceS = 3600;
-/** Upper limit of the setting, far above the retries that any fleet could send
- * in a window. */
+/** Upper limit of `RetryBounds::m_floor`, far above the retries that all
+ * instances together could send in a window. */
 constexpr double kMostFloor = 1e6;
 constexpr double kLongestWindowS = 3600;
 constexpr std::int64_t kLongestTurnMs = 3'600'000;
--- a/packages/entry/src/PeerRows.cpp
+++ b/packages/entry/src/PeerRows.cpp
@@ -125,7 +125,8 @@
   request.m_timeout = kTimeout;
   request.m_connectTimeout = kTimeout;
   request.m_fresh = true;
-  // The connection is not kept, because the next request goes to another peer.
+  // The connection is closed after the answer, because the next request goes to
+  // another peer.
   request.m_keepIdle = 0;
   m_node.m_metrics.Count("peer_rows_asked_total");
   net::HttpCallbacks callbacks;
--- a/packages/entry/src/PeerRows.h
+++ b/packages/entry/src/PeerRows.h
@@ -15,7 +15,8 @@
 {
 public:
   using Table = Peers::Table;
-  /** Returns what this instance has read of a table after a position. */
+  /** Returns the rows of a table that this instance has read and that changed
+   * after the given position, to answer the request of a peer. */
   using Source = sigc::slot<relay::TableSlice(StorePosition)>;
   /** Receives the peer's answer; std::nullopt if no peer answered or the answer
    * was invalid. */
@@ -27,15 +28,21 @@
   /** Listens by TCP at the address that the instance uses for datagrams.
    * Returns an error if the address cannot be bound. */
   tl::expected<void, net::NetError> Start();
+  /** Answers the requests of peers for this table with what `aSource` returns.
+   */
   void Serve(Table aTable, Source aSource);
-  /** Serves data that instances exchange among themselves and that is no
-   * followed table, under a name. */
+  /** Answers the requests of peers for `aName` with what `aSource` returns. For
+   * data that instances exchange and that is not a table followed from the
+   * store. */
   void Serve(const std::string& aName, Source aSource);
-  /** Asks a peer that has read changes of a table after `aAfter`. Calls
-   * `aAnswered` exactly once, later. */
+  /** Requests the changes of a table after the position `aAfter` from a peer
+   * that has read such changes. Calls `aAnswered` exactly once, also on
+   * failure, and never before this function returns. */
   void Ask(Table aTable, StorePosition aAfter, const Answered& aAnswered);
-  /** Asks the given peer (IP:PORT) for what it serves under `aName`. Calls
-   * `aAnswered` exactly once, later. */
+  /** Requests from the peer at `aPeer` (IP:PORT) the rows that it serves under
+   * `aName`, the name of a table or of other shared data (see `Serve`), and
+   * that changed after the position `aAfter`. Calls `aAnswered` exactly once,
+   * also on failure, and never before this function returns. */
   void AskPeer(const std::string& aPeer,
                const std::string& aName,
                StorePosition aAfter,
@@ -47,7 +54,7 @@
 
   EntryNode& m_node;
   const Peers& m_peers;
-  /** Sources by name of table. */
+  /** Sources by the name under which peers request them. */
   std::map<std::string, Source, std::less<>> m_sources;
   std::unique_ptr<net::HttpServer> m_server;
 };
--- a/packages/entry/src/Peers.cpp
+++ b/packages/entry/src/Peers.cpp
@@ -42,12 +42,15 @@
  * this time: some ten messages of its instances are lost by then, so it is cut
  * off. */
 constexpr Duration kDataCentreLoadsFor{ 2500 };
-/** Prefix of a data centre's name where it stands among the names of instances.
- */
+/** Prefix of the name under which the summed loads of a data centre are
+ * counted. It keeps that name apart from those of instances. */
 constexpr const char* kDataCentrePrefix = "hall/";
-/** Most prefills in one heartbeat, and how often prefills and role updates are
- * announced: each is repeated because datagrams are lost now and then. */
+/** Most announcements of prefills in one heartbeat. Each says which upstream
+ * has prefilled which prefix segment. */
 constexpr std::size_t kMostReads = 30;
+/** For how many heartbeat intervals prefills (`kTellReadsTimes`) and crash
+ * records (`kTellNewsTimes`) are announced: they are repeated because datagrams
+ * are lost now and then. */
 constexpr int kTellReadsTimes = 3;
 constexpr int kTellNewsTimes = 3;
 
@@ -445,7 +448,9 @@
 Peers::TellStoreView(membership::StoreView aView)
 {
   // If other instances still read the store, it is available and only that peer
-  // is cut off, so upstreams removed from the list have not expired.
+  // is cut off from it. Rows of upstreams that disappear have then been
+  // removed, and have not merely expired because upstreams could not renew
+  // them.
   aView.m_lost = aView.m_lost && !Pollers().HearsWorkingPoller(m_node.Now());
   m_storeViews.emit(aView);
   m_generations.Note(std::max(aView.m_config, aView.m_members).m_generation,
--- a/packages/entry/src/Peers.h
+++ b/packages/entry/src/Peers.h
@@ -17,8 +17,9 @@
 
 /** Heartbeats between the instances of a deployment: each sends the others its
  * load and the leaving upstreams several times a second. Instances find each
- * other by rows of the store, which each writes before it reads them, and by
- * the seeds; once found, they need neither. Not thread-safe. */
+ * other by their addresses in rows of the store, where each instance writes its
+ * own row before it reads all rows, and by the seed addresses in the settings;
+ * once they have found each other, they need neither. Not thread-safe. */
 class Peers
 {
 public:
@@ -32,23 +33,25 @@
   Peers(EntryNode& aNode, StoreGenerations& aGenerations);
 
   tl::expected<void, net::NetError> Start();
-  /** Announces to the other instances that an upstream is leaving, as this
-   * instance has read in the list. */
+  /** Announces to the other instances that an upstream is leaving, which this
+   * instance has read in the list of upstreams. */
   void NoteLeaving(const UpstreamIncarnation& aUpstream);
   /** Ends the announcements about an upstream that has been removed from the
-   * list. */
+   * list of upstreams. */
   void NoteGone(const std::string& aUpstream);
+  /** Sets what the heartbeats of this instance report of its own state. */
   void SetState(bool aReady, bool aLeaving);
-  /** Sets the role updates that this instance knows before the list shows them.
-   * Sends them at once and with each heartbeat. */
+  /** Sets the role updates of engines that this instance announces before the
+   * list of upstreams shows them. Sends them at once and with each heartbeat.
+   */
   void PublishRoleUpdates(std::vector<relay::RoleUpdate> aNews);
   /** Sets the recent crashes of upstreams during calls that this instance saw,
    * and the fingerprint of the calls that it has quarantined (std::nullopt
    * while it has not learned them). Both are sent with each heartbeat. */
   void SetCrashes(std::vector<membership::CrashDigest> aEndings,
                   std::optional<std::uint64_t> aHeldCalls);
-  /** How long an update must be announced so that each peer of the own data
-   * centre receives it several times. */
+  /** Returns how long an update must be announced so that each peer of the own
+   * data centre receives it several times. */
   Duration AnnouncementTime() const;
   /** Sends a heartbeat of this instance to all live instances at once. */
   void SendToAll();
@@ -59,8 +62,9 @@
   /** Returns IP:PORT of a live instance that has learned which calls are
    * quarantined; std::nullopt if there is none. */
   std::optional<std::string> PickPeerWithQuarantine() const;
-  /** Returns the rank of this instance among the live ones, in an order that
-   * depends on the topic. */
+  /** Returns the rank of this instance among the live ones, 0 for the first, in
+   * an order that depends on the topic. All instances compute the same order,
+   * so that they agree on who does a piece of work. */
   std::size_t Rank(std::string_view aTopic) const
   {
     return m_roster.Rank(aTopic);
@@ -72,8 +76,8 @@
    * poll the store. Always true if it receives no heartbeat from an instance
    * whose reads succeed. */
   bool IsPoller() const;
-  /** Returns true if this instance polls the store by its place in the order of
-   * pollers alone, whatever the others report. */
+  /** Returns true if this instance polls the store because of its rank among
+   * the instances of its data centre, whatever the others report. */
   bool IsPollerByHash() const;
   /** See `membership::StorePollers::ReadsSince`. */
   std::optional<Instant> DataCentreReadsSince(
@@ -84,10 +88,11 @@
   /** Sends a heartbeat of this instance to the live instances of its data
    * centre at once. */
   void TellDataCentre();
-  /** Returns IP:PORT of an instance that has read changes of a table after a
-   * position, preferably one of this data centre. Before any heartbeat has been
-   * received from such an instance, returns one that the store lists if nothing
-   * has been read yet; otherwise std::nullopt. */
+  /** Returns IP:PORT of an instance that has read changes of a table after
+   * `aAfter`, preferably one of this data centre. If heartbeats name no such
+   * instance: returns one of the addresses in the store's rows of instances if
+   * this instance has read nothing of the table yet (version 0), otherwise
+   * std::nullopt. */
   std::optional<std::string> PickAhead(Table aTable,
                                        StorePosition aAfter) const;
   /** Returns true once the rows of instances have been read from the store. */
@@ -108,8 +113,8 @@
   {
     return m_crashesReported;
   }
-  /** Emitted when another instance announces that a listed upstream is leaving.
-   */
+  /** Emitted when another instance announces that an upstream is leaving that
+   * this instance has in its list. */
   sigc::signal<void(const UpstreamIncarnation&)>& SignalLeaving()
   {
     return m_leaves;
@@ -143,9 +148,9 @@
   void RetryLater(sigc::slot<void()> aWhat);
   void NoteGeneration();
 
-  /** Writes the rows of all live instances again after the store came back from
-   * an older copy that may lack some. One instance suffices, so only the first
-   * by rank writes. */
+  /** Writes the rows of all live instances again after the store was restored
+   * from an older copy, which may lack some of them. One instance suffices, so
+   * only the first by rank writes. */
   void WriteAllRows();
   void WriteRows(const StoreCommit& aCommit);
 
--- a/packages/entry/src/QuarantineService.cpp
+++ b/packages/entry/src/QuarantineService.cpp
@@ -13,8 +13,9 @@
  * suspended. Connections that broke meanwhile may have timed out, and are no
  * evidence of a crash of their upstreams. */
 constexpr Duration kSuspendedGap{ 1000 };
-/** Least time between two trial runs of a call whose quarantine is doubted.
- * Within this time a trial run has either succeeded or crashed its upstream. */
+/** Least time between two trial runs of a call whose quarantine is doubted
+ * because its crashes may have had a common cause other than the call. Within
+ * this time a trial run has either succeeded or crashed its upstream. */
 constexpr Duration kTrialInterval{ 10'000 };
 /** Time-out of a connection probe. The machine of an upstream normally answers
  * within milliseconds, whether the upstream runs or not. */
@@ -92,8 +93,8 @@
   if (m_quarantine.IsQuarantined(aCall)) {
     return m_quarantine.QuarantineTimeLeft(aCall, m_node.Now());
   }
-  // Broken runs count as crashes until it is known whether the upstream
-  // crashed: the next run of the call could crash a further upstream.
+  // Runs whose connection broke count as crashes until it is known whether the
+  // upstream crashed: the next run of the call could crash a further upstream.
   const std::size_t ends =
     m_quarantine.Ends(aCall) + m_broken.Unresolved(aCall);
   if (ends >= quarantine::Quarantine::kCrashesToQuarantine) {
@@ -283,9 +284,9 @@
       aFrom == QuarantineShare::kFromPeer &&
       m_quarantine.Ends(aEnding.m_call) <
         quarantine::Quarantine::kCrashesToStopRetries) {
-    // The peer that observed the crash has logged it. All calls that ran on the
-    // upstream are reported, so logging them at each instance would be too
-    // much.
+    // The peer that observed the crash has logged it. A crash record arrives
+    // for each call that ran on the upstream, so logging them at each instance
+    // would be too much.
     return;
   }
   m_node.m_log->Write(
--- a/packages/entry/src/QuarantineService.h
+++ b/packages/entry/src/QuarantineService.h
@@ -33,8 +33,9 @@
    * true if the quarantine is switched off. */
   bool IsReadyForCalls() const;
 
-  /** Returns whether any call is suspected or quarantined, or has a broken run.
-   * Otherwise callers need not compute digests of calls. */
+  /** Returns whether any call is suspected or quarantined, or has a broken run:
+   * one whose connection broke, while it is not yet known whether the upstream
+   * crashed. If not, callers need not compute digests of calls. */
   bool KnowsAny() const;
   /** Returns how long the call stays quarantined, or std::nullopt if it may
    * run. */
@@ -66,10 +67,10 @@
   /** The upstream answered a request that was sent at `aSince`. Runs on it that
    * broke before then did not crash it. */
   void NoteAnswered(const std::string& aUpstream, Instant aSince);
-  /** The upstream was removed from the list. */
+  /** The upstream was removed from the list of upstreams. */
   void NoteGone(const UpstreamIncarnation& aUpstream);
-  /** The list has a later incarnation of the upstream, so all earlier ones have
-   * ended. */
+  /** The list of upstreams has a later incarnation of the upstream, so all
+   * earlier ones have ended. */
   void NoteLaterIncarnation(const std::string& aUpstream);
 
   /** Returns the number of quarantined calls. */
--- a/packages/entry/src/QuarantineShare.cpp
+++ b/packages/entry/src/QuarantineShare.cpp
@@ -8,7 +8,9 @@
 
 namespace {
 
-/** Topic under which the live instances are ranked for this work. */
+/** Topic of the ranking of live instances (`Peers::Rank`) that decides which
+ * one writes the crash records to the store, and in which order starting ones
+ * read them. */
 constexpr const char* kTopic = "quarantine";
 /** Key of the only row in the quarantine table of the store. Peers request the
  * same data from each other under this name. */
--- a/packages/entry/src/QuarantineShare.h
+++ b/packages/entry/src/QuarantineShare.h
@@ -40,8 +40,9 @@
   /** Returns whether this instance has received the quarantined calls from a
    * peer or the store. */
   bool IsKnown() const { return m_known; }
-  /** Announces crash records, or clearings, that this instance has observed to
-   * all live peers at once, and with the next heartbeats. */
+  /** Announces crash records that this instance has observed to all live peers
+   * at once, and with the next heartbeats. A record may also say that its call
+   * was cleared of the suspicion. */
   void Announce(std::vector<quarantine::CrashRecord> aEndings);
   /** Must be called several times a second. */
   void Tick();
@@ -66,7 +67,7 @@
   void AskPeer(const std::string& aAddress);
   void ReadStore();
   /** Writes the records to the store if they have changed and this instance is
-   * the first in the ranking. */
+   * the first in the ranking of the live instances. */
   void WriteStore();
   /** Returns at most `aMost` crash records as JSON. */
   std::string Text(std::size_t aMost) const;
--- a/packages/entry/src/Relay.cpp
+++ b/packages/entry/src/Relay.cpp
@@ -16,11 +16,12 @@
  * open no new connections to a stopping one. */
 constexpr Duration kOtherRetryAfter{ 250 };
 /** Share of the operators' retry limits that the instances use. Each instance
- * counts its own time windows, and the operators' window may begin anywhere
- * between two of them, so that it can cover repeats of two windows. */
+ * counts retries in time windows of its own. The window that the operators
+ * measure may begin in the middle of such a window, and can then contain the
+ * retries of two of them. */
 constexpr double kBudgetShare = 0.5;
-/** Upper bound of one instance's share of the retry floor (the repeats that are
- * allowed besides the ratio to first sends). An instance that has just started
+/** Upper bound of one instance's share of the retry floor, in retries per
+ * window (see `RetryBounds::m_floor`). An instance that has just started
  * does not know yet how many instances share the floor. */
 constexpr double kMostFloor = 2;
 /** Smallest difference between two deadlines of a route that counts as time
--- a/packages/entry/src/Relay.h
+++ b/packages/entry/src/Relay.h
@@ -28,7 +28,7 @@
   void UseLimits();
   /** From now on, every answer closes its connection. */
   void BeginStop();
-  /** Closes connections that are idle between two requests. */
+  /** Closes callers' connections that are idle between two requests. */
   void CloseResting();
   /** Returns the number of calls under way. */
   std::size_t Running() const { return m_calls.size(); }
--- a/packages/entry/src/RelayCall.cpp
+++ b/packages/entry/src/RelayCall.cpp
@@ -19,7 +19,8 @@
  * the first byte of plain calls are about as long (100 ms and more), so another
  * upstream often can still meet them. */
 constexpr Duration kConnectTimeout{ 120 };
-/** Smallest remaining time that a send is given. */
+/** Least time that a send is given for its answer, even if less is left until
+ * the caller's deadline. */
 constexpr Duration kLeastLeft{ 1 };
 /** Longest idle time after which a connection is reused for a call that must
  * run at most once. Some upstreams drop connections that were idle for 300 ms
@@ -27,8 +28,8 @@
  * the call ran. */
 constexpr Duration kMaxIdleTime{ 250 };
 /** Priority of calls that miss their target for the first byte in any case.
- * Engines serve them after calls that can still meet theirs. Routes have
- * priorities below ten. */
+ * Engines serve them after calls that can still meet theirs: 0 is the most
+ * urgent, and routes have priorities below ten. */
 constexpr int kLatePriority = 9;
 /** Mean interval at which placement of a postponed call is retried. Instances
  * report their loads to each other at the same interval. */
@@ -37,8 +38,9 @@
  * could not end before the deadline is not started. Outputs of present lengths
  * take 0.2 to 1 s. */
 constexpr Duration kOutputTime{ 1000 };
-/** The estimated prefill work of a prompt is reliable if it is at most 4/3 of
- * the work for the prompt's own tokens: then at most a quarter of it can be
+/** The estimated prefill work of a prompt is reliable if it is at most 4/3
+ * (`kSureParts` / `kParts`) of the work for the prompt's own tokens, which it
+ * shares with no other prompt: then at most a quarter of it can be
  * cached on the engine without this instance knowing. */
 constexpr std::int64_t kSureParts = 4;
 constexpr std::int64_t kParts = 3;
--- a/packages/entry/src/RelayCall.h
+++ b/packages/entry/src/RelayCall.h
@@ -69,11 +69,13 @@
     /** Prefill work that remains until the first byte of the answer, in tokens
      * (see `Fleet::WorkOf`). */
     std::int64_t m_tokens = 0;
-    /** Tokens under way at the upstream when this send began. */
+    /** Prompt tokens that waited for prefill at the upstream when this send
+     * began. */
     std::int64_t m_tokensAhead = 0;
     Instant m_sentAt;
-    /** The upstream cannot have cached so much of the prompt that `m_tokens` is
-     * far too high. */
+    /** `m_tokens` is reliable: at least three quarters of it are for tokens
+     * that the prompt shares with no other prompt, so the upstream cannot have
+     * cached so much of the prompt that `m_tokens` is far too high. */
     bool m_workIsSure = false;
     bool m_readOnly = false;   ///< The upstream only prefills the prompt.
     bool m_saidNotRun = false; ///< The upstream reports that it did not run.
--- a/packages/entry/src/RoleReconciler.cpp
+++ b/packages/entry/src/RoleReconciler.cpp
@@ -19,35 +19,37 @@
  * row. */
 constexpr const char* kDisaggregatedKey = "found/apart";
 constexpr Duration kTick{ 50 };
-/** Number of instances that try to acquire a free lease; the others read it
- * once. */
+/** Number of instances that try to acquire a free lease. To limit the load on
+ * the store, every other instance reads the rows of the lease's table only once
+ * after its start and once after each new generation of the store. */
 constexpr std::size_t kContenders = 2;
 /** A process younger than this does not try to acquire the lease: it has not
- * yet received heartbeats from the others, and when hundreds start at once each
- * would try. The value is twice the longest time between two heartbeats of a
- * peer in the same data centre. */
+ * yet received heartbeats from other instances, so when hundreds start at once,
+ * each would count itself among the contenders. The value is twice the longest
+ * time between two heartbeats of a peer in the same data centre. */
 constexpr Duration kMinAgeToContend{ 500 };
 constexpr Duration kStoreTimeout{ 1000 };
 /** Engines answer within milliseconds; later answers count as lost. */
 constexpr Duration kEngineTimeout{ 600 };
-/** Time constant, in milliseconds, with which the remembered need for decode
- * engines decays. It is about the time between two swings of the traffic mix,
- * so that engines do not follow each swing. */
+/** Time constant, in milliseconds, of the exponential decay of
+ * `ServicePlan::m_smoothedNeed`. It is about the time between two swings of the
+ * traffic mix, so that engines do not change their roles at each swing. */
 constexpr double kNeedMemoryMs = 10'000;
 
 authority::LeaseTimes
 TimesFor(Duration aTurn)
 {
-  // The holder stops sending orders one margin before its term ends, and its
-  // successor waits one margin longer. So 1.4 turns lie between the orders of
-  // two holders.
+  // The holder stops sending orders `m_margin` before the term of its lease
+  // ends, and a successor acquires the lease only `m_margin` after that end. So
+  // at least 1.4 * `aTurn` lies between the orders of two holders.
   authority::LeaseTimes out;
   out.m_term = aTurn * 5 / 3;
   out.m_margin = aTurn * 7 / 10;
   out.m_renewEvery = aTurn / 3;
   out.m_pollEvery = aTurn / 3;
-  // Instances that do not contend read the lease once and do not poll it: with
-  // hundreds of instances their polls would be most of the store's calls.
+  // Instances that do not try to acquire the lease read it once (see
+  // `kContenders`) and do not poll it: with hundreds of instances, their polls
+  // would be most of the requests that the store receives.
   out.m_idlePollFactor = 0;
   return out;
 }
@@ -75,8 +77,8 @@
   m_generations.SignalNewGeneration().connect(
     [this](StoreGeneration aGeneration) {
       HandleLease(authority::LeaseGeneration{ aGeneration });
-      // The new generation of the store may lack the row, so the next lease
-      // holder writes it again.
+      // The new generation of the store may lack the row `kDisaggregatedKey`,
+      // so the lease holder writes it again.
       m_storedServices.clear();
     });
   m_tick = m_node.m_loop->Every(kTick, [this] { Tick(); });
--- a/packages/entry/src/RoleReconciler.h
+++ b/packages/entry/src/RoleReconciler.h
@@ -32,12 +32,14 @@
   void PlanService(const relay::Service& aService,
                    std::vector<relay::EngineRoleChange>& aChanges);
   /** Restores the services that need disaggregated prefill. `aServices` is the
-   * row's value: their hashes, separated by blanks. */
+   * value of the store's row for them: the hashes of their names, separated by
+   * blanks. */
   void LoadDisaggregatedServices(const std::string& aServices);
   /** Writes the services that need disaggregated prefill to the store, if they
    * have changed. */
   void StoreDisaggregatedServices();
-  /** Sends the role updates to the other instances, if they have changed. */
+  /** Sends the role updates to the other instances, if they have changed since
+   * they were last sent. */
   void AnnounceRoleUpdates();
   void HandleLease(const authority::LeaseEvent& aEvent);
   void HandleRoleChangeEvent(const relay::RoleChangeEvent& aEvent);
--- a/packages/entry/src/StoreGenerations.cpp
+++ b/packages/entry/src/StoreGenerations.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-/** Shortest interval between two log lines about an unreadable generation. Such
- * a store sends one in each answer; one line a minute is enough, and the
- * counter has the rest. */
+/** Shortest interval between two log lines about an unreadable generation. A
+ * store that sends one does so in each answer; one line a minute is enough, and
+ * the metric store_generation_unreadable_total counts all of them. */
 constexpr Duration kTellUnreadableEvery{ 60'000 };
 /** Most bytes of an unreadable generation that are logged. */
 constexpr std::size_t kMostLogged = 40;
--- a/packages/entry/src/StoreReader.cpp
+++ b/packages/entry/src/StoreReader.cpp
@@ -120,7 +120,8 @@
   if (aView.m_lost) {
     Handle(relay::PeerLostStore{});
   }
-  // Steady reads of an earlier generation say nothing about the present one.
+  // A peer that reads an earlier generation steadily (see
+  // `StoreView::m_steady`) says nothing about the present one.
   const bool isCurrent =
     aView.m_members.m_generation >= m_follower.Generation();
   if (aView.m_steady && isCurrent) {
--- a/packages/entry/src/StoreReader.h
+++ b/packages/entry/src/StoreReader.h
@@ -15,7 +15,7 @@
 class StoreReader
 {
 public:
-  /** For `aKeeps` see `relay::FollowedTable`. `aNode`, `aGenerations` and
+  /** For `aKeeps` see `relay::KeepsKnown`. `aNode`, `aGenerations` and
    * `aPeers` must outlive this object. */
   StoreReader(EntryNode& aNode,
               StoreGenerations& aGenerations,
@@ -30,10 +30,11 @@
   /** Handles what another instance reports of its store reads. `aPosition` is
    * the position up to which it has read this table. */
   void NotePeer(StorePosition aPosition, const membership::StoreView& aView);
-  /** See `relay::PollingChanged`. */
+  /** Sets whether this instance polls the store (`aOnDuty`), and whether it
+   * does so because of its rank (`aByPlace`); see `relay::PollingChanged`. */
   void SetPolling(bool aOnDuty, bool aByPlace);
   /** Notes that the list of instances has been read; `aAny` is true if it names
-   * others. */
+   * instances other than this one. */
   void NotePeersListed(bool aAny);
   sigc::signal<void(const relay::ApplyRows&)>& SignalRows() { return m_rows; }
 
