--- a/packages/entry/src/RelayCall.cpp
+++ b/packages/entry/src/RelayCall.cpp
@@ -137,7 +137,7 @@
     [this] { Handle(relay::CallerLeft{}); });
   m_timer =
     m_node.m_loop->After(Left(), [this] { Handle(relay::DeadlinePassed{}); });
-  m_start.m_budget->NoteFirst(m_began);
+  m_start.m_budget->NoteFirstSend(m_began);
   if (m_start.m_head.m_prompt) {
     m_node.m_fleet.NotePrompt(
       m_start.m_service, *m_start.m_head.m_prompt, m_start.m_route->m_pause);
@@ -301,7 +301,7 @@
     m_attempt.m_id = aAction.m_attempt;
     m_attempt.m_upstream = aAction.m_upstream;
     m_attempt.m_sentAt = m_node.Now();
-    Handle(relay::AttemptUnsent{ aAction.m_attempt });
+    Handle(relay::AttemptNotSent{ aAction.m_attempt });
     return;
   }
   SendTerms terms;
@@ -475,7 +475,7 @@
   }
   const relay::AttemptId id = m_attempt.m_id;
   if (aResponse.m_end == net::HttpEnd::NotSent) {
-    Handle(relay::AttemptUnsent{ id });
+    Handle(relay::AttemptNotSent{ id });
   } else if (m_attempt.m_hasHead && m_attempt.m_saidNotRun) {
     const bool displaced = m_attempt.m_head.m_status == kMisdirected;
     Handle(relay::AttemptRefused{ id, displaced });
--- a/packages/relay/include/ridgeferry/relay/RelayFlow.h
+++ b/packages/relay/include/ridgeferry/relay/RelayFlow.h
@@ -54,7 +54,7 @@
   Cause m_cause = Cause::NoRoom;
 };
 /** The attempt failed before any of its bytes was sent. */
-struct AttemptUnsent
+struct AttemptNotSent
 {
   AttemptId m_attempt = 0;
 };
@@ -104,7 +104,7 @@
 using RelayEvent = std::variant<CallBegan,
                                 PlaceFound,
                                 NoPlace,
-                                AttemptUnsent,
+                                AttemptNotSent,
                                 AttemptRefused,
                                 PrefillCompleted,
                                 HeadArrived,
@@ -301,7 +301,7 @@
   void On(const CallBegan& aEvent, Actions& aActions);
   void On(const PlaceFound& aEvent, Actions& aActions);
   void On(const NoPlace& aEvent, Actions& aActions);
-  void On(const AttemptUnsent& aEvent, Actions& aActions);
+  void On(const AttemptNotSent& aEvent, Actions& aActions);
   void On(const AttemptRefused& aEvent, Actions& aActions);
   void On(const PrefillCompleted& aEvent, Actions& aActions);
   void On(const HeadArrived& aEvent, Actions& aActions);
--- a/packages/relay/include/ridgeferry/relay/RetryBudget.h
+++ b/packages/relay/include/ridgeferry/relay/RetryBudget.h
@@ -33,7 +33,7 @@
   }
 
   /** Records the first send of a call. */
-  void NoteFirst(Instant aNow);
+  void NoteFirstSend(Instant aNow);
   /** Returns whether the window that ends at `aNow` allows one more retry. */
   bool MayRepeat(Instant aNow);
   /** Records a retry. Must be called for each retry that is sent. */
@@ -45,7 +45,7 @@
   void Forget(Instant aNow);
 
   BudgetTerms m_terms;
-  std::deque<Instant> m_first;
+  std::deque<Instant> m_firstSends;
   std::deque<Instant> m_repeats;
 };
 
--- a/packages/relay/src/FleetPrefillEngines.cpp
+++ b/packages/relay/src/FleetPrefillEngines.cpp
@@ -85,7 +85,7 @@
  * Fixed time to start and finish a KV transfer, in ms. The time for the
  * transferred tokens comes in addition.
  */
-constexpr double kFetchMs = 4;
+constexpr double kKvTransferOverheadMs = 4;
 /** Factor by which a KV transfer between two data centres takes longer. */
 constexpr double kAwayMoves = 2;
 
@@ -167,8 +167,9 @@
   const TransferSource& source = isNear ? near->second : aSources.m_most;
   const std::int64_t more = source.m_tokens - kept;
   if (more >= kLeastFetched) {
-    fetchMs = kFetchMs + static_cast<double>(more) / aRequest.m_movedPerMs *
-                           (isNear ? 1 : kAwayMoves);
+    fetchMs = kKvTransferOverheadMs + static_cast<double>(more) /
+                                        aRequest.m_movedPerMs *
+                                        (isNear ? 1 : kAwayMoves);
     out.m_transferSource = source.m_state;
     kept = source.m_tokens;
   }
--- a/packages/relay/src/RelayFlow.cpp
+++ b/packages/relay/src/RelayFlow.cpp
@@ -174,7 +174,7 @@
 }
 
 void
-RelayFlow::On(const AttemptUnsent& aEvent, Actions& aActions)
+RelayFlow::On(const AttemptNotSent& aEvent, Actions& aActions)
 {
   if (!IsCurrent(aEvent.m_attempt)) {
     return;
--- a/packages/relay/src/RetryBudget.cpp
+++ b/packages/relay/src/RetryBudget.cpp
@@ -5,7 +5,7 @@
 void
 RetryBudget::Forget(Instant aNow)
 {
-  for (auto* sends : { &m_first, &m_repeats }) {
+  for (auto* sends : { &m_firstSends, &m_repeats }) {
     while (!sends->empty() && aNow - sends->front() >= m_terms.m_window) {
       sends->pop_front();
     }
@@ -13,10 +13,10 @@
 }
 
 void
-RetryBudget::NoteFirst(Instant aNow)
+RetryBudget::NoteFirstSend(Instant aNow)
 {
   Forget(aNow);
-  m_first.push_back(aNow);
+  m_firstSends.push_back(aNow);
 }
 
 bool
@@ -24,7 +24,8 @@
 {
   Forget(aNow);
   const double allowed =
-    m_terms.m_floor + m_terms.m_ratio * static_cast<double>(m_first.size());
+    m_terms.m_floor +
+    m_terms.m_ratio * static_cast<double>(m_firstSends.size());
   return static_cast<double>(m_repeats.size()) + 1 <= allowed;
 }
 
--- a/packages/relay/tests/RelayWorldTest.cpp
+++ b/packages/relay/tests/RelayWorldTest.cpp
@@ -112,7 +112,7 @@
       const std::vector<RelayEvent> ends{ PrefillCompleted{ m_attempt, "h" },
                                           AttemptBroke{ m_attempt },
                                           AttemptRefused{ m_attempt },
-                                          AttemptUnsent{ m_attempt },
+                                          AttemptNotSent{ m_attempt },
                                           AnswerEnded{ m_attempt } };
       Take(ends[static_cast<std::size_t>(*rc::gen::inRange(0, 5))]);
     } else if (!m_headSent && aWhat < 4) {
@@ -123,7 +123,7 @@
         // The upstream cannot be reached, so it has crashed and its earlier run
         // no longer counts.
         m_ranAt.erase(m_runAt);
-        Take(AttemptUnsent{ m_attempt });
+        Take(AttemptNotSent{ m_attempt });
       }
     } else if (aWhat < 6) {
       CountRun();
--- a/packages/relay/tests/RetryBudgetTest.cpp
+++ b/packages/relay/tests/RetryBudgetTest.cpp
@@ -20,7 +20,7 @@
     for (int i = 0; i < 200; ++i) {
       now += Duration{ *rc::gen::inRange(0, 60) };
       if (*rc::gen::inRange(0, 3) != 0) {
-        budget.NoteFirst(now);
+        budget.NoteFirstSend(now);
         first.push_back(now);
       } else if (budget.MayRepeat(now)) {
         budget.NoteRepeat(now);
