--- a/packages/entry/src/Peers.cpp
+++ b/packages/entry/src/Peers.cpp
@@ -188,7 +188,7 @@
     return;
   }
   const membership::Heartbeat whole = WithLoads(m_node.m_fleet.OwnLoads());
-  if (!m_roster.TellsByDataCentre()) {
+  if (!m_roster.SendsLoadsPerDataCentre()) {
     Send(whole, aAddresses);
     return;
   }
--- a/packages/membership/include/ridgeferry/membership/Roster.h
+++ b/packages/membership/include/ridgeferry/membership/Roster.h
@@ -292,7 +292,7 @@
    * Returns whether other data centres receive summed loads; see
    * `RosterTimes::m_maxRoundToAll`.
    */
-  bool TellsByDataCentre() const;
+  bool SendsLoadsPerDataCentre() const;
   bool IsInOwnDataCentre(const PeerView& aPeer) const;
   /**
    * Returns the addresses of all known peers in the own data centre, dead ones
--- a/packages/membership/src/Roster.cpp
+++ b/packages/membership/src/Roster.cpp
@@ -76,7 +76,7 @@
     return;
   }
   m_nextHeartbeat = aNow + HeartbeatInterval();
-  if (TellsByDataCentre()) {
+  if (SendsLoadsPerDataCentre()) {
     TellByDataCentre(aNow, aActions);
   } else {
     SendToAll(aActions);
@@ -86,7 +86,7 @@
 void
 Roster::ExpirePeers(Instant aNow)
 {
-  const bool byDataCentre = TellsByDataCentre();
+  const bool byDataCentre = SendsLoadsPerDataCentre();
   for (auto it = m_peers.begin(); it != m_peers.end();) {
     PeerView& peer = it->second;
     const Duration silence = aNow - peer.m_lastHeartbeatAt;
@@ -176,7 +176,7 @@
 }
 
 bool
-Roster::TellsByDataCentre() const
+Roster::SendsLoadsPerDataCentre() const
 {
   return TimeForAll() > m_times.m_maxRoundToAll;
 }
@@ -184,7 +184,7 @@
 Duration
 Roster::IntervalOf(const PeerView& aPeer) const
 {
-  return TellsByDataCentre() && !IsInOwnDataCentre(aPeer)
+  return SendsLoadsPerDataCentre() && !IsInOwnDataCentre(aPeer)
            ? m_times.m_remoteHeartbeatEvery
            : HeartbeatInterval();
 }
@@ -193,7 +193,7 @@
 Roster::HeartbeatInterval() const
 {
   return std::max(m_times.m_heartbeatEvery,
-                  TellsByDataCentre()
+                  SendsLoadsPerDataCentre()
                     ? m_times.m_heartbeatEachPeer * m_peersInOwnDataCentre
                     : TimeForAll());
 }
--- a/packages/membership/tests/RosterTest.cpp
+++ b/packages/membership/tests/RosterTest.cpp
@@ -283,7 +283,7 @@
   // messages are lost.
   EXPECT_GE(world.Of(0).LiveCount(),
             that.m_lostOneIn == 0 ? all : all * 9 / 10);
-  EXPECT_TRUE(world.Of(0).TellsByDataCentre());
+  EXPECT_TRUE(world.Of(0).SendsLoadsPerDataCentre());
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -300,7 +300,7 @@
   for (int i = 0; i < 50; ++i) {
     world.Step(0);
   }
-  EXPECT_FALSE(world.Of(0).TellsByDataCentre());
+  EXPECT_FALSE(world.Of(0).SendsLoadsPerDataCentre());
   EXPECT_EQ(world.Of(0).LiveCount(), 60U);
 }
 
