--- a/packages/entry/src/RoleReconciler.cpp
+++ b/packages/entry/src/RoleReconciler.cpp
@@ -32,8 +32,9 @@
 /** Engines answer within milliseconds; later answers count as lost. */
 constexpr Duration kEngineTimeout{ 600 };
 /** Time constant, in milliseconds, of the exponential decay of
- * `ServicePlan::m_smoothedNeed`. It is about the time between two swings of the
- * traffic mix, so that engines do not change their roles at each swing. */
+ * `ServicePlan::m_decodeEngineDemand`. It is about the time between two swings
+ * of the traffic mix, so that engines do not change their roles at each swing.
+ */
 constexpr double kNeedMemoryMs = 10'000;
 
 authority::LeaseTimes
@@ -122,16 +123,17 @@
 }
 
 double
-RoleReconciler::SmoothedNeed(const relay::Service& aService, ServicePlan& aPlan)
+RoleReconciler::UpdateDecodeEngineDemand(const relay::Service& aService,
+                                         ServicePlan& aPlan)
 {
   const Instant now = m_node.Now();
   const double needed =
     m_node.m_fleet.DecodeEnginesNeeded(aService.m_name, *aService.m_engine);
   const auto age = static_cast<double>((now - aPlan.m_at).count());
-  aPlan.m_smoothedNeed =
-    std::max(needed, aPlan.m_smoothedNeed * std::exp(-age / kNeedMemoryMs));
+  aPlan.m_decodeEngineDemand = std::max(
+    needed, aPlan.m_decodeEngineDemand * std::exp(-age / kNeedMemoryMs));
   aPlan.m_at = now;
-  return aPlan.m_smoothedNeed;
+  return aPlan.m_decodeEngineDemand;
 }
 
 void
@@ -143,7 +145,7 @@
     return; // Decode engines also prefill fast enough, so roles need no plan.
   }
   ServicePlan& plan = m_plans[aService.m_name];
-  const double needed = SmoothedNeed(aService, plan);
+  const double needed = UpdateDecodeEngineDemand(aService, plan);
   std::vector<relay::PlannedEngine> engines =
     m_node.m_fleet.EnginesOf(aService.m_name);
   for (relay::PlannedEngine& engine : engines) {
--- a/packages/entry/src/RoleReconciler.h
+++ b/packages/entry/src/RoleReconciler.h
@@ -56,11 +56,12 @@
   {
     relay::DecodePoolPlanner m_planner;
     /** Decaying maximum of the number of decode engines needed. */
-    double m_smoothedNeed = 0;
-    Instant m_at; ///< When `m_smoothedNeed` was last updated.
+    double m_decodeEngineDemand = 0;
+    Instant m_at; ///< When `m_decodeEngineDemand` was last updated.
   };
 
-  double SmoothedNeed(const relay::Service& aService, ServicePlan& aPlan);
+  double UpdateDecodeEngineDemand(const relay::Service& aService,
+                                  ServicePlan& aPlan);
 
   EntryNode& m_node;
   StoreGenerations& m_generations;
--- a/packages/entry/tests/PromptOutcomeTest.cpp
+++ b/packages/entry/tests/PromptOutcomeTest.cpp
@@ -5,13 +5,13 @@
 namespace ridgeferry::entry {
 namespace {
 
-struct BandCase
+struct SizeBandCase
 {
   std::int64_t m_tokens;
   std::string_view m_band;
 };
 
-class SizeBandTest : public ::testing::TestWithParam<BandCase>
+class SizeBandTest : public ::testing::TestWithParam<SizeBandCase>
 {};
 
 // A wrong bound would count prompts in the neighbouring band of the metric. The
@@ -23,14 +23,14 @@
 
 INSTANTIATE_TEST_SUITE_P(Sizes,
                          SizeBandTest,
-                         ::testing::Values(BandCase{ 0, "0-512" },
-                                           BandCase{ 511, "0-512" },
-                                           BandCase{ 512, "512-1k" },
-                                           BandCase{ 8191, "4k-8k" },
-                                           BandCase{ 8192, "8k-16k" },
-                                           BandCase{ 65'535, "32k-64k" },
-                                           BandCase{ 65'536, "64k-" },
-                                           BandCase{ 10'000'000, "64k-" }));
+                         ::testing::Values(SizeBandCase{ 0, "0-512" },
+                                           SizeBandCase{ 511, "0-512" },
+                                           SizeBandCase{ 512, "512-1k" },
+                                           SizeBandCase{ 8191, "4k-8k" },
+                                           SizeBandCase{ 8192, "8k-16k" },
+                                           SizeBandCase{ 65'535, "32k-64k" },
+                                           SizeBandCase{ 65'536, "64k-" },
+                                           SizeBandCase{ 10'000'000, "64k-" }));
 
 } // namespace
 } // namespace ridgeferry::entry
